--- a/include/graniteseam/admission/allotter.h
+++ b/include/graniteseam/admission/allotter.h
@@ -74,7 +74,7 @@
   /// routers report less, their sum counts.
   void SetCapacity(const ServiceName& service, double concurrency);
   /// Drops services that the bundle in force does not name.
-  void KeepOnly(const std::vector<ServiceName>& services);
+  void RetainServices(const std::vector<ServiceName>& services);
 
   /// Takes a router's report; replaces its earlier one.
   void Report(const RouterId& router, const std::vector<DemandReport>& reports, Instant now,
--- a/simulation/traffic_world/gateway_process.cc
+++ b/simulation/traffic_world/gateway_process.cc
@@ -110,7 +110,7 @@
         m_feed = m_node->feed();
         ask_feed();
     }
-    if (m_node->ConfigurationIsUntold())
+    if (m_node->HasUnreportedConfiguration())
         poll();
     if (auto const* const tokens = std::get_if<control::TokenAnswer>(&message))
         carry_out(m_node->OnTokens(*tokens, Now()));
--- a/src/admission/allotter.cc
+++ b/src/admission/allotter.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// Claimant indices by rising demand per weight: the order in which water-filling satisfies them.
-std::vector<std::size_t> ByDemandPerWeight(const std::vector<Claimant>& claimants) {
+std::vector<std::size_t> OrderByDemandPerWeight(const std::vector<Claimant>& claimants) {
   std::vector<std::size_t> order(claimants.size());
   std::iota(order.begin(), order.end(), 0);
   std::stable_sort(order.begin(), order.end(), [&](std::size_t left, std::size_t right) {
@@ -27,7 +27,7 @@
   double weight_left = 0.0;
   for (const Claimant& claimant : claimants) weight_left += claimant.weight;
   double capacity_left = std::max(0.0, capacity);
-  for (const std::size_t index : ByDemandPerWeight(claimants)) {
+  for (const std::size_t index : OrderByDemandPerWeight(claimants)) {
     const Claimant& claimant = claimants[index];
     const double fair = weight_left > 0.0 ? capacity_left * claimant.weight / weight_left : 0.0;
     parts[index] = std::min(claimant.demand, fair);
@@ -51,7 +51,7 @@
   stale_ = true;
 }
 
-void Allotter::KeepOnly(const std::vector<ServiceName>& services) {
+void Allotter::RetainServices(const std::vector<ServiceName>& services) {
   std::erase_if(services_, [&](const auto& entry) {
     return std::find(services.begin(), services.end(), entry.first) == services.end();
   });
--- a/src/control/router_sessions.cc
+++ b/src/control/router_sessions.cc
@@ -129,7 +129,7 @@
     allotter_.SetGroups(service.name, std::move(groups));
     allotter_.SetCapacity(service.name, servers[service.name] * service.concurrency_per_server);
   }
-  allotter_.KeepOnly(names);
+  allotter_.RetainServices(names);
 }
 
 std::vector<ProcessVersion> RouterSessions::Versions(Instant now) const {
--- a/src/daemon/gateway/gateway_process.cc
+++ b/src/daemon/gateway/gateway_process.cc
@@ -388,7 +388,7 @@
   if (node_.configuration() != before) LogConfiguration(update, received);
   control_->NoteVersion(node_.version());
   if (node_.feed() != feed_) FollowFeed();
-  if (node_.ConfigurationIsUntold()) Poll();
+  if (node_.HasUnreportedConfiguration()) Poll();
   if (!was_ready && node_.Ready()) {
     events_.Write(runtime::EventWeight::kNotable,
                   runtime::EventLine("ready").Add("version", node_.version()));
--- a/src/gateway/back_pressure_table.cc
+++ b/src/gateway/back_pressure_table.cc
@@ -36,22 +36,22 @@
 
 }  // namespace
 
-auto BackPressureTable::find(traffic::InstanceId const& instance) const -> Word const* {
-  auto const found = m_words.find(instance);
-  return found == m_words.end() ? nullptr : &found->second;
+auto BackPressureTable::find(traffic::InstanceId const& instance) const -> Entry const* {
+  auto const found = m_entries.find(instance);
+  return found == m_entries.end() ? nullptr : &found->second;
 }
 
 auto BackPressureTable::take(traffic::InstanceId const& instance, BackPressure const& pressure,
                              bool ran, Instant now) -> Changes {
   Changes changes;
   auto const states = pressure.limit_per_second || pressure.rest || pressure.leaving;
-  if (!states && !m_words.contains(instance)) return changes;
-  auto& word = m_words[instance];
+  if (!states && !m_entries.contains(instance)) return changes;
+  auto& word = m_entries[instance];
   auto const silent = !pressure.limit_per_second;
   auto const speaks = !silent || (ran && !pressure.unreadable && word.limit_per_second > 0);
   if (speaks) {
     word.heard = now;
-    word.untold = true;
+    word.unreported_limit = true;
     set_limit(instance, word, silent ? 0 : std::max(kLimitMinimum, *pressure.limit_per_second), now,
               changes);
   }
@@ -60,7 +60,7 @@
     word.leaving_since = now;
     changes.push_back({instance, "leaving", ""});
   }
-  m_news = m_news || !changes.empty();
+  m_has_unreported_changes = m_has_unreported_changes || !changes.empty();
   return changes;
 }
 
@@ -70,13 +70,13 @@
   auto const* const known = find(limit.instance);
   if (known == nullptr && limit.requests_per_second == 0) return changes;
   if (known != nullptr && heard <= known->heard) return changes;
-  auto& word = m_words[limit.instance];
+  auto& word = m_entries[limit.instance];
   word.heard = heard;
   set_limit(limit.instance, word, limit.requests_per_second, now, changes);
   return changes;
 }
 
-auto BackPressureTable::set_limit(traffic::InstanceId const& instance, Word& word, double limit,
+auto BackPressureTable::set_limit(traffic::InstanceId const& instance, Entry& word, double limit,
                                   Instant now, Changes& changes) -> void {
   auto const before = std::exchange(word.limit_per_second, limit);
   if (before == 0) word.limited_since = now;
@@ -87,19 +87,21 @@
                      per_second(limit) + ", before " + per_second(before)});
 }
 
-auto BackPressureTable::take_rest(traffic::InstanceId const& instance, Word& word, Duration rest,
+auto BackPressureTable::take_rest(traffic::InstanceId const& instance, Entry& word, Duration rest,
                                   Instant now, Changes& changes) -> void {
-  if (now >= word.rests_until) changes.push_back({instance, "rest_asked", "for " + InMs(rest)});
-  word.rests_until = std::max(word.rests_until, now + std::min(rest, kRestMaximum) + kRestMargin);
-  word.rest_untold = true;
-}
-
-auto BackPressureTable::tell(traffic::TrafficPoll& poll, Instant now) -> void {
-  m_news = false;
-  for (auto& [instance, word] : m_words) {
-    if (std::exchange(word.untold, false)) poll.limits.push_back(limit_of(instance, now));
-    if (!std::exchange(word.rest_untold, false) || now >= word.rests_until) continue;
-    auto const left = std::chrono::duration_cast<std::chrono::milliseconds>(word.rests_until - now);
+  if (now >= word.back_off_until) changes.push_back({instance, "rest_asked", "for " + InMs(rest)});
+  word.back_off_until =
+      std::max(word.back_off_until, now + std::min(rest, kRestMaximum) + kRestMargin);
+  word.unreported_rest = true;
+}
+
+auto BackPressureTable::add_to_poll(traffic::TrafficPoll& poll, Instant now) -> void {
+  m_has_unreported_changes = false;
+  for (auto& [instance, word] : m_entries) {
+    if (std::exchange(word.unreported_limit, false)) poll.limits.push_back(limit_of(instance, now));
+    if (!std::exchange(word.unreported_rest, false) || now >= word.back_off_until) continue;
+    auto const left =
+        std::chrono::duration_cast<std::chrono::milliseconds>(word.back_off_until - now);
     poll.rests.push_back({instance, left.count()});
   }
 }
@@ -112,9 +114,9 @@
   return {instance, word->limit_per_second, age.count()};
 }
 
-auto BackPressureTable::rests_until(traffic::InstanceId const& instance) const -> Instant {
+auto BackPressureTable::back_off_until(traffic::InstanceId const& instance) const -> Instant {
   auto const* const word = find(instance);
-  return word == nullptr ? Instant{} : word->rests_until;
+  return word == nullptr ? Instant{} : word->back_off_until;
 }
 
 auto BackPressureTable::leaving_since(traffic::InstanceId const& instance) const
@@ -150,8 +152,8 @@
 }
 
 auto BackPressureTable::give_tokens(traffic::LimitTokenGrant const& grant, Instant now) -> void {
-  auto const found = m_words.find(grant.instance);
-  if (found == m_words.end()) return;
+  auto const found = m_entries.find(grant.instance);
+  if (found == m_entries.end()) return;
   auto& word = found->second;
   word.tokens = grant.requests;
   auto const wait =
@@ -160,18 +162,19 @@
 }
 
 auto BackPressureTable::drop_tokens(traffic::InstanceId const& instance) -> void {
-  auto const found = m_words.find(instance);
-  if (found != m_words.end()) found->second.tokens = 0;
+  auto const found = m_entries.find(instance);
+  if (found != m_entries.end()) found->second.tokens = 0;
 }
 
-auto BackPressureTable::is_used_up(traffic::InstanceId const& instance, Instant now) const -> bool {
+auto BackPressureTable::is_exhausted(traffic::InstanceId const& instance, Instant now) const
+    -> bool {
   auto const* const word = find(instance);
   return word != nullptr && now < word->used_up_until;
 }
 
 auto BackPressureTable::note_sent(traffic::InstanceId const& instance, Instant now) -> void {
-  auto const found = m_words.find(instance);
-  if (found == m_words.end() || found->second.limit_per_second == 0) return;
+  auto const found = m_entries.find(instance);
+  if (found == m_entries.end() || found->second.limit_per_second == 0) return;
   auto& word = found->second;
   if (word.tokens > 0) {
     --word.tokens;
@@ -182,7 +185,7 @@
 
 auto BackPressureTable::limited() const -> std::size_t {
   return static_cast<std::size_t>(
-      std::count_if(m_words.begin(), m_words.end(),
+      std::count_if(m_entries.begin(), m_entries.end(),
                     [](auto const& entry) { return entry.second.limit_per_second > 0; }));
 }
 
--- a/src/gateway/back_pressure_table.h
+++ b/src/gateway/back_pressure_table.h
@@ -48,21 +48,21 @@
             Instant now) -> Changes;
   /// Takes what another gateway heard.
   auto take(traffic::InstanceLimit const& limit, Instant now) -> Changes;
-  auto forget(traffic::InstanceId const& instance) -> void { m_words.erase(instance); }
+  auto forget(traffic::InstanceId const& instance) -> void { m_entries.erase(instance); }
 
   /// Adds what was heard since the last call to a poll.
-  auto tell(traffic::TrafficPoll& poll, Instant now) -> void;
+  auto add_to_poll(traffic::TrafficPoll& poll, Instant now) -> void;
   /// Whether something began or ended that no poll has told of.
-  auto has_news() const -> bool { return m_news; }
+  auto has_unreported_changes() const -> bool { return m_has_unreported_changes; }
   /// The limit of an instance as it is known here.
   auto limit_of(traffic::InstanceId const& instance, Instant now) const -> traffic::InstanceLimit;
 
   /// Whether an instance ever stated anything.
   auto knows(traffic::InstanceId const& instance) const -> bool {
-    return m_words.contains(instance);
+    return m_entries.contains(instance);
   }
   /// Until when an instance wants no request from this gateway; Instant{} where it never asked.
-  auto rests_until(traffic::InstanceId const& instance) const -> Instant;
+  auto back_off_until(traffic::InstanceId const& instance) const -> Instant;
   /// Since when an instance is known to leave; nullopt where it does not.
   auto leaving_since(traffic::InstanceId const& instance) const -> std::optional<Instant>;
   auto is_limited(traffic::InstanceId const& instance) const -> bool;
@@ -75,7 +75,7 @@
   auto give_tokens(traffic::LimitTokenGrant const& grant, Instant now) -> void;
   auto drop_tokens(traffic::InstanceId const& instance) -> void;
   /// Whether the leader has just said that there are none.
-  auto is_used_up(traffic::InstanceId const& instance, Instant now) const -> bool;
+  auto is_exhausted(traffic::InstanceId const& instance, Instant now) const -> bool;
   /// A request was sent.
   auto note_sent(traffic::InstanceId const& instance, Instant now) -> void;
 
@@ -83,29 +83,29 @@
   auto limited() const -> std::size_t;
 
  private:
-  struct Word {
-    double limit_per_second = 0;  ///< 0 for none.
-    Instant heard{};              ///< When an answer told that, here or elsewhere.
-    bool untold = false;          ///< Heard here since control was told.
+  struct Entry {
+    double limit_per_second = 0;    ///< 0 for none.
+    Instant heard{};                ///< When an answer told that, here or elsewhere.
+    bool unreported_limit = false;  ///< Heard here since control was told.
     std::uint32_t tokens = 0;
     Instant used_up_until{};
     Instant limited_since{};
     Instant sent{};  ///< The last request of this gateway that no token of the leader's covered.
-    Instant rests_until{};
-    bool rest_untold = false;
+    Instant back_off_until{};
+    bool unreported_rest = false;
     std::optional<Instant> leaving_since;
   };
 
-  static auto set_limit(traffic::InstanceId const& instance, Word& word, double limit, Instant now,
+  static auto set_limit(traffic::InstanceId const& instance, Entry& word, double limit, Instant now,
                         Changes& changes) -> void;
-  static auto take_rest(traffic::InstanceId const& instance, Word& word, Duration rest, Instant now,
-                        Changes& changes) -> void;
-  auto find(traffic::InstanceId const& instance) const -> Word const*;
+  static auto take_rest(traffic::InstanceId const& instance, Entry& word, Duration rest,
+                        Instant now, Changes& changes) -> void;
+  auto find(traffic::InstanceId const& instance) const -> Entry const*;
 
   std::uint64_t const m_seed;
   std::uint32_t m_gateways = 1;
-  bool m_news = false;
-  std::map<traffic::InstanceId, Word> m_words;
+  bool m_has_unreported_changes = false;
+  std::map<traffic::InstanceId, Entry> m_entries;
 };
 
 }  // namespace graniteseam::gateway
--- a/src/gateway/backend_table.cc
+++ b/src/gateway/backend_table.cc
@@ -80,7 +80,7 @@
     if (old != before.end()) backend = old->second;
     const bool drains_now = !fresh && backend.instance.TakesNewWork() && !instance.TakesNewWork();
     if (drains_now) backend.drained_since = confirmed_at_;
-    FollowWarmUp(backend, instance, fresh, now);
+    UpdateWarmUp(backend, instance, fresh, now);
     backend.instance = instance;
     if (fresh) backend.latency_us = Micros(options_.first_latency);
   }
@@ -113,7 +113,7 @@
   pressure_.forget(id);
 }
 
-void BackendTable::FollowWarmUp(Backend& backend, const traffic::Instance& next, bool fresh,
+void BackendTable::UpdateWarmUp(Backend& backend, const traffic::Instance& next, bool fresh,
                                 Instant now) {
   const bool drained = backend.instance.state == traffic::InstanceState::kZoneDrained;
   const bool taken_back = !fresh && drained && next.TakesNewWork();
@@ -147,13 +147,14 @@
   return backend.in_flight < ConnectionShare(backend.instance.report.service);
 }
 
-std::optional<RefusalReason> BackendTable::Bar(const Backend& backend, Instant now) const {
+std::optional<RefusalReason> BackendTable::SendBlockReason(const Backend& backend,
+                                                           Instant now) const {
   const traffic::InstanceId& id = backend.instance.report.id;
   if (!pressure_.knows(id)) return std::nullopt;
   // The owner of a key has no others that could take its requests.
   const bool keyed = keyed_.contains(backend.instance.report.service);
-  if (now < pressure_.rests_until(id)) return RefusalReason::kResting;
-  if (keyed ? LeftForLong(id, now) : pressure_.leaving_since(id).has_value()) {
+  if (now < pressure_.back_off_until(id)) return RefusalReason::kResting;
+  if (keyed ? LeavingPastAllowance(id, now) : pressure_.leaving_since(id).has_value()) {
     return RefusalReason::kNoServer;
   }
   if (!pressure_.is_limited(id) || pressure_.has_token(id)) return std::nullopt;
@@ -161,7 +162,7 @@
   return own_token ? std::nullopt : std::optional(RefusalReason::kLimited);
 }
 
-bool BackendTable::LeftForLong(const traffic::InstanceId& id, Instant now) const {
+bool BackendTable::LeavingPastAllowance(const traffic::InstanceId& id, Instant now) const {
   const auto since = pressure_.leaving_since(id);
   return since && now - *since >= options_.drain_allowance;
 }
@@ -171,8 +172,8 @@
   return found == backends_.end() ? nullptr : &found->second;
 }
 
-bool BackendTable::DrainedForLong(const Backend& backend, Instant now) const {
-  if (LeftForLong(backend.instance.report.id, now)) return true;
+bool BackendTable::DrainAllowanceElapsed(const Backend& backend, Instant now) const {
+  if (LeavingPastAllowance(backend.instance.report.id, now)) return true;
   const bool zone = backend.instance.state == traffic::InstanceState::kZoneDrained;
   const Duration allowance = zone ? options_.zone_drain_allowance : options_.drain_allowance;
   return !backend.instance.TakesNewWork() && now - backend.drained_since >= allowance;
@@ -243,7 +244,7 @@
     const Backend& backend = backends_.at(id);
     const bool was_tried = std::find(tried.begin(), tried.end(), id) != tried.end();
     if (!backend.instance.TakesNewWork() || was_tried) continue;
-    if (!WarmUpAdmits(backend, now) || Bar(backend, now)) continue;
+    if (!WarmUpAdmits(backend, now) || SendBlockReason(backend, now)) continue;
     if (now < backend.ejected_until) {
       const bool sooner =
           best_ejected == nullptr || backend.ejected_until < best_ejected->ejected_until;
@@ -270,8 +271,8 @@
   // The few requests that it bears would be lost if they had to wait for chance to draw it.
   if (choice.rare != nullptr) return choice.rare;
   if (choice.usable.empty()) return choice.last_resort;
-  return KnowsServers(service, services_.at(service).size(), now)
-             ? Shortest(choice.usable, target, now)
+  return HasEnoughSamples(service, services_.at(service).size(), now)
+             ? ShortestWait(choice.usable, target, now)
              : DrawWithRoom(choice.usable, now);
 }
 
@@ -295,15 +296,15 @@
   return drawn.size() < 2 ? Backends{} : drawn;
 }
 
-const Backend* BackendTable::Soonest(const std::vector<traffic::InstanceId>& asked, Duration target,
-                                     Instant now) const {
+const Backend* BackendTable::FastestProbed(const std::vector<traffic::InstanceId>& asked,
+                                           Duration target, Instant now) const {
   const Backend* best = nullptr;
   double least = 0;
   for (const traffic::InstanceId& id : asked) {
     const Backend* const backend = Find(id);
     if (backend == nullptr || now - backend->others_at > kWordIsFresh) continue;
     if (!backend->instance.TakesNewWork() || !HasConnectionLeft(*backend)) continue;
-    if (!WarmUpAdmits(*backend, now) || Bar(*backend, now)) continue;
+    if (!WarmUpAdmits(*backend, now) || SendBlockReason(*backend, now)) continue;
     if (LoadOf(*backend, now) >= SlotsOf(*backend) * (1.0 + options_.waiting_maximum)) continue;
     const double time = CompletionMicros(*backend, target, now);
     if (best != nullptr && time >= least) continue;
@@ -333,12 +334,12 @@
   if (found == backends_.end()) return;
   Backend& backend = found->second;
   if (report.other_instance) return Fail(backend, now);
-  if (report.load) TakeLoad(backend, *report.load, now);
+  if (report.load) ApplyLoad(backend, *report.load, now);
   if (report.warm_up_left) backend.warm_at = std::max(backend.warm_at, now + *report.warm_up_left);
 }
 
-bool BackendTable::KnowsServers(const ServiceName& service, std::size_t servers,
-                                Instant now) const {
+bool BackendTable::HasEnoughSamples(const ServiceName& service, std::size_t servers,
+                                    Instant now) const {
   const auto found = visits_.find(service);
   if (found == visits_.end() || now - found->second.since < kVisitsCounted) return true;
   const Visits& visits = found->second;
@@ -349,7 +350,7 @@
   return lately >= options_.visits_to_know * counted * static_cast<double>(servers);
 }
 
-const Backend* BackendTable::Shortest(const Backends& usable, Duration target, Instant now) {
+const Backend* BackendTable::ShortestWait(const Backends& usable, Duration target, Instant now) {
   std::uniform_real_distribution<double> jitter(1.0, 1.0 + kJitter);
   const Backend* best = nullptr;
   double least = 0;
@@ -422,7 +423,7 @@
   visits.at = now;
 }
 
-void BackendTable::TakeHints(const std::vector<traffic::InstanceHint>& hints, Instant now) {
+void BackendTable::ApplyHints(const std::vector<traffic::InstanceHint>& hints, Instant now) {
   for (const traffic::InstanceHint& hint : hints) {
     const auto found = backends_.find(hint.instance);
     if (found == backends_.end()) continue;
@@ -448,7 +449,7 @@
   Backend& backend = found->second;
   const bool was_waiting = LoadOf(backend, now) + 1 > SlotsOf(backend);
   if (report.end == AttemptEnd::kAnswered) NoteUsualTime(backend, taken, now);
-  if (report.load) TakeLoad(backend, *report.load, now);
+  if (report.load) ApplyLoad(backend, *report.load, now);
   if (Unreached(backend, report)) {
     ++backend.speed.unreached;
     Fail(backend, now);
@@ -494,7 +495,7 @@
   return speeds;
 }
 
-void BackendTable::TakeLoad(Backend& backend, const ReportedLoad& load, Instant now) {
+void BackendTable::ApplyLoad(Backend& backend, const ReportedLoad& load, Instant now) {
   const ServiceZone place{backend.instance.report.service, backend.instance.report.zone};
   Occupancy& occupancy = occupancies_[place];
   const double word = (load.running + load.waiting) / std::max(1.0, load.slots);
--- a/src/gateway/backend_table.h
+++ b/src/gateway/backend_table.h
@@ -112,12 +112,12 @@
   void SetPlace(const GatewayPlace& place) { warm_ups_.set_place(place); }
 
   /// Takes what all gateways together saw.
-  void TakeHints(const std::vector<traffic::InstanceHint>& hints, Instant now);
+  void ApplyHints(const std::vector<traffic::InstanceHint>& hints, Instant now);
 
   const Backend* Find(const traffic::InstanceId& id) const;
   /// Whether a server has been without new work, or said that it leaves, for so long that its
   /// promise to get none is due.
-  bool DrainedForLong(const Backend& backend, Instant now) const;
+  bool DrainAllowanceElapsed(const Backend& backend, Instant now) const;
 
   /// The server of a service with the shortest wait to expect, without those in `tried`; one drawn
   /// by its speed where this gateway meets them too rarely to know.
@@ -133,8 +133,8 @@
                 std::size_t count, Instant now);
   /// Of servers that were asked, the one that would answer first, by what they just told.
   /// @return nullptr when none of them answered and has room.
-  const Backend* Soonest(const std::vector<traffic::InstanceId>& asked, Duration target,
-                         Instant now) const;
+  const Backend* FastestProbed(const std::vector<traffic::InstanceId>& asked, Duration target,
+                               Instant now) const;
   /// Takes what came of asking a server.
   void OnProbed(const ProbeReport& report, Instant now);
 
@@ -154,7 +154,7 @@
 
   /// Why this gateway may send a server no request now, by what the server states of those that it
   /// takes; nullopt when it may.
-  std::optional<RefusalReason> Bar(const Backend& backend, Instant now) const;
+  std::optional<RefusalReason> SendBlockReason(const Backend& backend, Instant now) const;
   BackPressureTable& pressure() { return pressure_; }
   const BackPressureTable& pressure() const { return pressure_; }
 
@@ -190,16 +190,16 @@
   void Unlist(const Backend& backend);
   void Remove(const traffic::InstanceId& id);
   /// Takes what control says of an instance's warm-up.
-  void FollowWarmUp(Backend& backend, const traffic::Instance& next, bool fresh, Instant now);
+  void UpdateWarmUp(Backend& backend, const traffic::Instance& next, bool fresh, Instant now);
   /// Whether the owner of keys said so long ago that it leaves that it is to get no more requests.
-  bool LeftForLong(const traffic::InstanceId& id, Instant now) const;
+  bool LeavingPastAllowance(const traffic::InstanceId& id, Instant now) const;
   /// Whether this gateway may send a server a request now, as far as its warm-up goes; also of one
   /// that has just told a probe that it turned cold.
   bool WarmUpAdmits(const Backend& backend, Instant now) const;
   static bool WarmsUp(const Backend& backend, Instant now) { return now < backend.warm_at; }
 
   /// Whether this gateway meets each server of a service often enough to know how it does.
-  bool KnowsServers(const ServiceName& service, std::size_t servers, Instant now) const;
+  bool HasEnoughSamples(const ServiceName& service, std::size_t servers, Instant now) const;
   /// The servers of a service that a request may go to.
   struct Choice {
     Backends usable;
@@ -215,7 +215,7 @@
   double CompletionMicros(const Backend& backend, Duration target, Instant now) const;
   /// Takes the time of a request for what is usual in its service.
   void NoteUsualTime(const Backend& backend, Duration taken, Instant now);
-  const Backend* Shortest(const Backends& usable, Duration target, Instant now);
+  const Backend* ShortestWait(const Backends& usable, Duration target, Instant now);
   /// Draws from the own zone, from all while that zone's servers are full.
   const Backend* DrawWithRoom(const Backends& usable, Instant now);
   /// One of `backends`, each as probable as it is fast, so that all get the same load for their
@@ -232,7 +232,7 @@
   /// Part of the next requests that a server is taken to fail.
   double FailingPart(const Backend& backend, Instant now) const;
   void NoteOutcome(Backend& backend, bool failed, Instant now) const;
-  void TakeLoad(Backend& backend, const ReportedLoad& load, Instant now);
+  void ApplyLoad(Backend& backend, const ReportedLoad& load, Instant now);
   /// Whether an attempt ended without a whole answer of the server that was meant.
   bool Unreached(const Backend& backend, const AttemptReport& report) const;
   void Fail(Backend& backend, Instant now);
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_watch.cc
@@ -59,7 +59,7 @@
   return std::nullopt;
 }
 
-auto CrashWatch::tell(traffic::TrafficPoll& poll, Instant now) -> void {
+auto CrashWatch::add_to_poll(traffic::TrafficPoll& poll, Instant now) -> void {
   while (!m_losses.empty() && now - m_losses.front().lost_at > kLossKept) m_losses.pop_front();
   auto const tells_all = poll.sequence % kPollsPerTelling == 0;
   for (auto loss = m_losses.rbegin(); loss != m_losses.rend(); ++loss) {
--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -35,7 +35,7 @@
   auto note_answered(traffic::RequestDigest digest, Instant now) -> void;
 
   /// Adds to a poll what control should know.
-  auto tell(traffic::TrafficPoll& poll, Instant now) -> void;
+  auto add_to_poll(traffic::TrafficPoll& poll, Instant now) -> void;
 
  private:
   struct Loss {
--- a/src/gateway/feed_watch.cc
+++ b/src/gateway/feed_watch.cc
@@ -29,7 +29,7 @@
   watch.awaited_since = now;
 }
 
-auto look_at_feed(FeedWatch& watch, std::uint64_t own_version, Instant now) -> void {
+auto check_feed(FeedWatch& watch, std::uint64_t own_version, Instant now) -> void {
   if (own_version != watch.version) {
     watch.version = own_version;
     watch.advanced_at = now;
@@ -44,10 +44,10 @@
   auto const patience = kBehindFor * (1 << std::min(watch.late, kDoubledAtMost));
   auto const first = own_version == 0;
   auto const is_late = first ? behind >= kFirstFor : still >= kStillFor || behind >= patience;
-  if (is_late) give_up_feed(watch, now);
+  if (is_late) abandon_feed(watch, now);
 }
 
-auto give_up_feed(FeedWatch& watch, Instant now) -> void {
+auto abandon_feed(FeedWatch& watch, Instant now) -> void {
   ++watch.tried;
   ++watch.late;
   watch.awaited_since = now;
--- a/src/gateway/feed_watch.h
+++ b/src/gateway/feed_watch.h
@@ -31,9 +31,9 @@
                  std::uint64_t own_version, Instant now) -> void;
 
 /// Gives the feed up if it is late. To be called before each poll.
-auto look_at_feed(FeedWatch& watch, std::uint64_t own_version, Instant now) -> void;
+auto check_feed(FeedWatch& watch, std::uint64_t own_version, Instant now) -> void;
 
 /// The connection to the feed ended.
-auto give_up_feed(FeedWatch& watch, Instant now) -> void;
+auto abandon_feed(FeedWatch& watch, Instant now) -> void;
 
 }  // namespace graniteseam::gateway
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -58,7 +58,7 @@
 }
 
 GatewayEffects GatewayNode::OnHints(const traffic::TrafficHints& hints, Instant now) {
-  traffic_.backends().TakeHints(hints.instances, now);
+  traffic_.backends().ApplyHints(hints.instances, now);
   hot_keys_.take(hints.hot_keys, now);
   for (const traffic::InstanceLimit& limit : hints.limits) {
     if (traffic_.backends().Find(limit.instance) == nullptr) continue;
@@ -81,20 +81,20 @@
       requests_.set_timer(request, {});
       Note(number, "quota_token", {},
            "for " + request.tenant.value + ", after " + InMs(now - request.received));
-      LetIn(request, now);
+      AdmitWithToken(request, now);
     }
     if (grant.retry_after_ms == 0) continue;
     for (const RequestNumber number : token_queue_.take(grant.tenant, token_queue_.size())) {
       RefuseByQuota(requests_.at(number), now);
     }
   }
-  for (const traffic::LimitTokenGrant& grant : answer.limited) TakeLimitTokens(grant, now);
+  for (const traffic::LimitTokenGrant& grant : answer.limited) ApplyLimitTokens(grant, now);
   AskForTokens(now);
   return Finish();
 }
 
-void GatewayNode::TakeLimitTokens(const traffic::LimitTokenGrant& grant, Instant now) {
-  const std::vector<RequestNumber> asked = limit_queue_.asked_for(grant.instance);
+void GatewayNode::ApplyLimitTokens(const traffic::LimitTokenGrant& grant, Instant now) {
+  const std::vector<RequestNumber> asked = limit_queue_.requested_for(grant.instance);
   if (asked.empty()) return;
   BackPressureTable& pressure = traffic_.backends().pressure();
   pressure.give_tokens(grant, now);
@@ -116,7 +116,7 @@
   traffic_.backends().OnEnded(request->open->instance, report, now - request->open->sent_at, now);
   if (report.load) probes_.note_answer(service, *report.load, now);
   NoteBackPressure(request->open->instance, report, now);
-  TakeEnd(*request, report, now);
+  HandleAttemptEnd(*request, report, now);
   ServeWaiting(service, now);
   return Finish();
 }
@@ -129,7 +129,7 @@
   ProbeRound& round = request->probes;
   const bool awaited = request->waiting && round.open > 0 && round.number == report.round;
   if (!awaited) return Finish();
-  if (report.load) ++round.told;
+  if (report.load) ++round.loads_received;
   if (--round.open > 0) return Finish();
   request->not_before = now;
   ServeWaiting(ServiceName(request->service), now);
@@ -169,17 +169,17 @@
   poll.sequence = ++poll_sequence_;
   polled_at_ = now;
   poll.version = version();
-  look_at_feed(feed_, version(), now);
+  check_feed(feed_, version(), now);
   const bool has_feed = !feed_.address.empty();
   poll.wants_state = has_feed ? feed_.asks_leader : feed_.answered;
   poll.feeds_tried = feed_.tried;
-  told_configuration_ = configuration();
+  reported_configuration_ = configuration();
   poll.loads = key_loads_.take();
   const bool tell_speeds = poll_sequence_ % kPollsPerSpeeds == 0;
   poll.speeds = traffic_.backends().TakeSpeeds(tell_speeds);
-  crashes_.tell(poll, now);
-  quotas_.tell(poll, now);
-  traffic_.backends().pressure().tell(poll, now);
+  crashes_.add_to_poll(poll, now);
+  quotas_.add_to_poll(poll, now);
+  traffic_.backends().pressure().add_to_poll(poll, now);
   return poll;
 }
 
@@ -195,25 +195,25 @@
                          now);
   }
   request.priority = route->priority;
-  if (const auto refused = TakeTenant(request, *route, now)) {
+  if (const auto refused = ResolveTenant(request, *route, now)) {
     return EndWithoutRun(request, *refused, now);
   }
   const auto service = traffic_.routes().NextService(*route);
   if (!service) return EndWithoutRun(request, RefusalReason::kNoServer, now);
-  TakeRoute(request, *route, *service);
-  if (TakeQuota(request, now)) Offer(request, now);
+  ApplyRoute(request, *route, *service);
+  if (ChargeQuota(request, now)) Offer(request, now);
 }
 
-bool GatewayNode::TakeQuota(LiveRequest& request, Instant now) {
+bool GatewayNode::ChargeQuota(LiveRequest& request, Instant now) {
   if (request.tenant.Empty()) return true;
   switch (quotas_.admit(request.tenant, now)) {
     case QuotaGate::Verdict::kAdmitted:
-      request.counted = true;
+      request.charged_to_quota = true;
       return true;
     case QuotaGate::Verdict::kRefused:
       RefuseByQuota(request, now);
       return false;
-    case QuotaGate::Verdict::kAsks:
+    case QuotaGate::Verdict::kNeedsToken:
       break;
   }
   token_queue_.add(request.tenant, request.arrived.number);
@@ -228,11 +228,11 @@
     return EndWithoutRun(request, RefusalReason::kQuotaUnknown, now);
   }
   token_queue_.remove(request.tenant, request.arrived.number);
-  LetIn(request, now);
+  AdmitWithToken(request, now);
 }
 
-void GatewayNode::LetIn(LiveRequest& request, Instant now) {
-  request.counted = true;
+void GatewayNode::AdmitWithToken(LiveRequest& request, Instant now) {
+  request.charged_to_quota = true;
   request.hold_from = now;
   Offer(request, now);
 }
@@ -246,14 +246,14 @@
 }
 
 void GatewayNode::AskForTokens(Instant now) {
-  if (!quotas_.may_ask(now)) return;
+  if (!quotas_.may_request_tokens(now)) return;
   const BackPressureTable& pressure = traffic_.backends().pressure();
   std::vector<traffic::LimitTokenRequest> limited;
   for (const LimitQueue::Wanted& wanted : limit_queue_.ask()) {
     if (!pressure.is_limited(wanted.instance)) continue;
     limited.push_back({pressure.limit_of(wanted.instance, now), wanted.requests});
   }
-  auto question = quotas_.next_question(token_queue_.wanted(), now, std::move(limited));
+  auto question = quotas_.next_token_request(token_queue_.wanted(), now, std::move(limited));
   if (question) effects_.actions.emplace_back(AskTokens{*std::move(question)});
 }
 
@@ -268,7 +268,7 @@
       return EndWithoutRun(request, RefusalReason::kBadKey, now);
     }
     key_loads_.count(service, *arrived.key);
-    if (!HasPlace(request, now)) return EndWithoutRun(request, RefusalReason::kHotKey, now);
+    if (!PassesHotKeyGate(request, now)) return EndWithoutRun(request, RefusalReason::kHotKey, now);
   }
   BudgetOf(service).CountRequest(now);
   if (now >= request.give_up) return EndWithoutRun(request, RefusalReason::kDeadline, now);
@@ -281,8 +281,8 @@
 
 bool GatewayNode::IsConfirmed(Instant now) const { return now - confirmed_at_ <= kConfirmedFor; }
 
-std::optional<RefusalReason> GatewayNode::TakeTenant(LiveRequest& request,
-                                                     const traffic::Route& route, Instant now) {
+std::optional<RefusalReason> GatewayNode::ResolveTenant(LiveRequest& request,
+                                                        const traffic::Route& route, Instant now) {
   const TenantTable& tenants = traffic_.tenants();
   if (!tenants.keys_required()) return std::nullopt;
   const traffic::KeyDigest& key = request.arrived.api_key;
@@ -298,17 +298,17 @@
   return std::nullopt;
 }
 
-bool GatewayNode::HasPlace(LiveRequest& request, Instant now) {
+bool GatewayNode::PassesHotKeyGate(LiveRequest& request, Instant now) {
   if (!hot_keys_.is_hot(request.service, *request.arrived.key, now)) return true;
-  request.let_in = hot_keys_.admits(request.service, *request.arrived.key);
-  return request.let_in;
+  request.admitted_by_hot_key_gate = hot_keys_.admits(request.service, *request.arrived.key);
+  return request.admitted_by_hot_key_gate;
 }
 
 void GatewayNode::RefuseExcess(const traffic::HotKey& hot, Instant now) {
   for (const WaitingPlace& place : requests_.queue_of(hot.service)) {
     LiveRequest& request = requests_.at(place.number);
-    if (request.arrived.key != hot.key || request.let_in) continue;
-    if (!HasPlace(request, now)) EndWithoutRun(request, RefusalReason::kHotKey, now);
+    if (request.arrived.key != hot.key || request.admitted_by_hot_key_gate) continue;
+    if (!PassesHotKeyGate(request, now)) EndWithoutRun(request, RefusalReason::kHotKey, now);
   }
 }
 
@@ -322,8 +322,8 @@
   }
 }
 
-void GatewayNode::TakeRoute(LiveRequest& request, const traffic::Route& route,
-                            const ServiceName& service) {
+void GatewayNode::ApplyRoute(LiveRequest& request, const traffic::Route& route,
+                             const ServiceName& service) {
   request.kind = route.kind;
   request.service = service;
   request.target_latency = std::chrono::milliseconds(route.target_latency_ms);
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -57,7 +57,7 @@
   GatewayEffects OnProbeEnd(const ProbeReport& report, Instant now);
   GatewayEffects OnCallerGone(RequestNumber request, Instant now);
   /// The connection to the control process that brings the state has ended.
-  void OnFeedLost(Instant now) { give_up_feed(feed_, now); }
+  void OnFeedLost(Instant now) { abandon_feed(feed_, now); }
   GatewayEffects Tick(Instant now);
   Instant NextTick() const;
 
@@ -67,12 +67,12 @@
   /// Whether some key got so much since the last poll, or a server stated something new, that
   /// control should know at once.
   bool PollIsUrgent() const {
-    return key_loads_.is_urgent() || traffic_.backends().pressure().has_news();
+    return key_loads_.is_urgent() || traffic_.backends().pressure().has_unreported_changes();
   }
 
   /// Whether a configuration is in force here that no poll has told of. Its operator's
   /// acknowledgement waits for that word.
-  bool ConfigurationIsUntold() const { return told_configuration_ != configuration(); }
+  bool HasUnreportedConfiguration() const { return reported_configuration_ != configuration(); }
 
   /// The control process from which to take the state, "ip:port"; empty while none was named.
   const std::string& feed() const { return feed_.address; }
@@ -99,16 +99,16 @@
   void NoteConfirmation(const traffic::TrafficUpdate& update, Instant now);
   void Admit(LiveRequest& request, Instant now);
   /// Takes what the request's route says of it.
-  void TakeRoute(LiveRequest& request, const traffic::Route& route, const ServiceName& service);
+  void ApplyRoute(LiveRequest& request, const traffic::Route& route, const ServiceName& service);
   /// Takes whose key the request shows.
   /// @return why it is refused; nullopt when it may go on.
-  std::optional<RefusalReason> TakeTenant(LiveRequest& request, const traffic::Route& route,
-                                          Instant now);
+  std::optional<RefusalReason> ResolveTenant(LiveRequest& request, const traffic::Route& route,
+                                             Instant now);
   /// Lets a request in by its tenant's quota, or has it wait for a token, or refuses it.
   /// @return whether it goes on.
-  bool TakeQuota(LiveRequest& request, Instant now);
+  bool ChargeQuota(LiveRequest& request, Instant now);
   /// Lets in a request that waited for its quota.
-  void LetIn(LiveRequest& request, Instant now);
+  void AdmitWithToken(LiveRequest& request, Instant now);
   /// No token came in time.
   void EndTokenWait(LiveRequest& request, Instant now);
   void RefuseByQuota(LiveRequest& request, Instant now);
@@ -119,7 +119,7 @@
   /// Whether what control accepted lately is known to be in force here.
   bool IsConfirmed(Instant now) const;
   /// Whether the owner of its key has a place for the request, as far as is known.
-  bool HasPlace(LiveRequest& request, Instant now);
+  bool PassesHotKeyGate(LiveRequest& request, Instant now);
   /// Refuses those that wait for a hot key and have no place.
   void RefuseExcess(const traffic::HotKey& hot, Instant now);
   /// Refuses those that wait and that control found to end their servers.
@@ -130,7 +130,7 @@
   void Note(RequestNumber request, std::string_view what, const traffic::InstanceId& instance,
             std::string inputs);
   /// Sends what the tokens of an owner's limit let in, and refuses the rest.
-  void TakeLimitTokens(const traffic::LimitTokenGrant& grant, Instant now);
+  void ApplyLimitTokens(const traffic::LimitTokenGrant& grant, Instant now);
   void NoteChanges(const BackPressureTable::Changes& changes);
   void NoteBackPressure(const traffic::InstanceId& instance, const AttemptReport& report,
                         Instant now);
@@ -155,9 +155,9 @@
   Step Send(LiveRequest& request, const Backend& backend, Instant now);
   void BeginAttempt(LiveRequest& request, const Backend& backend, Instant now);
   /// Waits for the end of the rest that the only server of a request asked for, when that is soon.
-  Step WaitForRest(LiveRequest& request, const Backend& owner, Instant now);
+  Step WaitForBackOff(LiveRequest& request, const Backend& owner, Instant now);
   /// Whether the owner of the request's key rests for longer than the request may be held.
-  bool RestsForLong(const LiveRequest& request, const traffic::InstanceId& owner) const;
+  bool BacksOffPastHold(const LiveRequest& request, const traffic::InstanceId& owner) const;
   /// Waits for a token of the leader's by which the owner's limit lets the request in.
   Step WaitForToken(LiveRequest& request, const Backend& owner, Instant now);
   /// Leaves the request in its queue until `limit` after `hold_from`. With its time to wait over it
@@ -167,10 +167,10 @@
   Step WaitForOwner(LiveRequest& request, RefusalReason reason, Instant now);
 
   // request_ending.cc
-  void TakeEnd(LiveRequest& request, const AttemptReport& report, Instant now);
+  void HandleAttemptEnd(LiveRequest& request, const AttemptReport& report, Instant now);
   /// Remembers what the end of an attempt tells of whether its request ends servers.
-  void NoteForCrashes(const LiveRequest& request, const AttemptReport& report,
-                      const OpenAttempt& ended, Instant now);
+  void RecordForCrashTracking(const LiveRequest& request, const AttemptReport& report,
+                              const OpenAttempt& ended, Instant now);
   void RetryOrEnd(LiveRequest& request, const AttemptReport& report, Instant now);
   /// Puts a request back into its queue, to be sent again.
   void Requeue(LiveRequest& request, Instant now);
@@ -193,8 +193,8 @@
   TokenQueue token_queue_;
   LimitQueue limit_queue_;
   std::uint64_t poll_sequence_ = 0;
-  traffic::ConfigurationVersion told_configuration_;  ///< In force at the newest poll.
-  Instant polled_at_{};                               ///< When the newest poll was made.
+  traffic::ConfigurationVersion reported_configuration_;  ///< In force at the newest poll.
+  Instant polled_at_{};                                   ///< When the newest poll was made.
   Instant confirmed_at_{};
   GatewayEffects effects_;
 };
--- a/src/gateway/hold_limits.cc
+++ b/src/gateway/hold_limits.cc
@@ -56,7 +56,7 @@
 }
 
 auto limit_wait_end(LiveRequest const& request) -> Instant {
-  return std::min(request.asks_since + token_wait(request), request.give_up);
+  return std::min(request.token_wait_since + token_wait(request), request.give_up);
 }
 
 auto hold_timer(LiveRequest const& request, Duration limit, Instant now) -> Instant {
@@ -66,7 +66,7 @@
   return request.not_before > now ? std::min(end, request.not_before) : end;
 }
 
-auto next_owner_look(Instant now) -> Instant {
+auto next_owner_check(Instant now) -> Instant {
   return Instant{(now.time_since_epoch() / kOwnerLook + 1) * kOwnerLook};
 }
 
--- a/src/gateway/hold_limits.h
+++ b/src/gateway/hold_limits.h
@@ -37,6 +37,6 @@
 
 /// When to look again at owners that have no room. All requests that wait for one look at the same
 /// instants, so that one look serves them.
-auto next_owner_look(Instant now) -> Instant;
+auto next_owner_check(Instant now) -> Instant;
 
 }  // namespace graniteseam::gateway
--- a/src/gateway/key_map.cc
+++ b/src/gateway/key_map.cc
@@ -35,13 +35,13 @@
   ranges[span.first] = range;
 }
 
-void KeyMap::Disown(const traffic::KeyRange& range, Instant until) {
-  disowned_[range.service][range.span.first] = {range.fence, until};
+void KeyMap::MarkOwnerStale(const traffic::KeyRange& range, Instant until) {
+  stale_owners_[range.service][range.span.first] = {range.fence, until};
 }
 
-bool KeyMap::Disowned(const traffic::KeyRange& range, Instant now) const {
-  const auto service = disowned_.find(range.service);
-  if (service == disowned_.end()) return false;
+bool KeyMap::IsOwnerStale(const traffic::KeyRange& range, Instant now) const {
+  const auto service = stale_owners_.find(range.service);
+  if (service == stale_owners_.end()) return false;
   const auto found = service->second.find(range.span.first);
   return found != service->second.end() && found->second.fence == range.fence &&
          now < found->second.until;
--- a/src/gateway/key_map.h
+++ b/src/gateway/key_map.h
@@ -22,21 +22,21 @@
 
   /// The owner that is known here said that it does not own the range: this map is behind. It is
   /// not asked again before `until`, unless an update changes the range.
-  void Disown(const traffic::KeyRange& range, Instant until);
-  bool Disowned(const traffic::KeyRange& range, Instant now) const;
+  void MarkOwnerStale(const traffic::KeyRange& range, Instant until);
+  bool IsOwnerStale(const traffic::KeyRange& range, Instant now) const;
 
  private:
   using Ranges = std::map<std::uint32_t, traffic::KeyRange>;  ///< By their first key.
 
   static void Override(Ranges& ranges, const traffic::KeyRange& range);
 
-  struct Disavowal {
+  struct StaleOwner {
     traffic::Fence fence;
     Instant until;
   };
 
   std::map<ServiceName, Ranges> services_;
-  std::map<ServiceName, std::map<std::uint32_t, Disavowal>> disowned_;  ///< By first key.
+  std::map<ServiceName, std::map<std::uint32_t, StaleOwner>> stale_owners_;  ///< By first key.
 };
 
 }  // namespace graniteseam::gateway
--- a/src/gateway/limit_queue.cc
+++ b/src/gateway/limit_queue.cc
@@ -22,7 +22,7 @@
   return wanted;
 }
 
-auto LimitQueue::asked_for(traffic::InstanceId const& instance) const
+auto LimitQueue::requested_for(traffic::InstanceId const& instance) const
     -> std::vector<RequestNumber> {
   std::vector<RequestNumber> requests;
   for (auto const& [request, waiting] : m_waiting) {
--- a/src/gateway/limit_queue.h
+++ b/src/gateway/limit_queue.h
@@ -25,7 +25,7 @@
   /// What to ask for now, for all that wait.
   auto ask() -> std::vector<Wanted>;
   /// Those that were asked for and still wait.
-  auto asked_for(traffic::InstanceId const& instance) const -> std::vector<RequestNumber>;
+  auto requested_for(traffic::InstanceId const& instance) const -> std::vector<RequestNumber>;
 
  private:
   struct Waiting {
--- a/src/gateway/live_request.h
+++ b/src/gateway/live_request.h
@@ -31,8 +31,8 @@
   std::uint32_t number = 0;                ///< Answers to earlier rounds are late.
   std::vector<traffic::InstanceId> asked;  ///< Empty while there is no round.
   std::uint32_t open = 0;                  ///< Answers that are waited for.
-  std::uint32_t told = 0;                  ///< Of the servers asked, those that told their load.
-  Instant rests_until{};                   ///< No further round before.
+  std::uint32_t loads_received = 0;        ///< Of the servers asked, those that told their load.
+  Instant back_off_until{};                ///< No further round before.
 };
 
 struct LiveRequest {
@@ -57,12 +57,13 @@
   bool may_have_run = false;
   ProbeRound probes;
 
-  bool waiting = false;  ///< In its service's queue.
-  bool let_in = false;   ///< While its key was known to be hot.
-  bool counted = false;  ///< Let in by its tenant's quota.
-  Instant asks_since{};  ///< For a token of its owner's limit; Instant{} while it asks for none.
-  Instant server_rests_until{};  ///< The server that alone can run it; Instant{} for none.
-  Instant not_before{};          ///< While waiting: not tried again earlier.
+  bool waiting = false;                   ///< In its service's queue.
+  bool admitted_by_hot_key_gate = false;  ///< While its key was known to be hot.
+  bool charged_to_quota = false;          ///< Let in by its tenant's quota.
+  Instant
+      token_wait_since{};  ///< For a token of its owner's limit; Instant{} while it asks for none.
+  Instant server_back_off_until{};  ///< The server that alone can run it; Instant{} for none.
+  Instant not_before{};             ///< While waiting: not tried again earlier.
   RefusalReason waits_for = RefusalReason::kOverloaded;
 };
 
--- a/src/gateway/probe_policy.h
+++ b/src/gateway/probe_policy.h
@@ -49,25 +49,25 @@
 
  private:
   /// Servers that tell no more of their work for so long are asked no more.
-  static constexpr Duration kToldWithin{30'000'000};
+  static constexpr Duration kWorkReportMaxAge{30'000'000};
   /// Mean time of probes beyond which they are not answered at once. The longest way between two
   /// zones of a region takes a tenth of it, new connections included.
-  static constexpr Duration kSlow{100'000};
+  static constexpr Duration kSlowProbe{100'000};
   /// Of one probe no more counts: a few servers that are silent do not make all of them slow.
-  static constexpr Duration kCounted{2 * kSlow};
+  static constexpr Duration kSampleMaximum{2 * kSlowProbe};
   /// For how long probes rest then.
-  static constexpr Duration kRest{10'000'000};
+  static constexpr Duration kSuspension{10'000'000};
   /// Weight of the newest probe in the mean.
-  static constexpr double kNewest = 0.05;
+  static constexpr double kSampleWeight = 0.05;
 
-  struct Seen {
-    std::optional<Instant> told_at;  ///< When a server last told how long work takes.
+  struct ServiceState {
+    std::optional<Instant> work_reported_at;  ///< When a server last told how long work takes.
     double mean_us = 0;
-    Instant rests_until{};
+    Instant suspended_until{};
   };
 
   ProbeOptions const m_options;
-  std::map<ServiceName, Seen> m_seen;
+  std::map<ServiceName, ServiceState> m_services;
 };
 
 }  // namespace graniteseam::gateway
--- a/src/gateway/quota_gate.cc
+++ b/src/gateway/quota_gate.cc
@@ -47,7 +47,7 @@
   auto& limited = found->second;
   ++limited.asked;
   if (admit_by_share(tenant, now)) return Verdict::kAdmitted;
-  return now < limited.refused_until ? Verdict::kRefused : Verdict::kAsks;
+  return now < limited.refused_until ? Verdict::kRefused : Verdict::kNeedsToken;
 }
 
 auto QuotaGate::admit_by_share(traffic::TenantName const& tenant, Instant now) -> bool {
@@ -74,7 +74,7 @@
   return std::max(kRetryAfterMinimum, until - now);
 }
 
-auto QuotaGate::tell(traffic::TrafficPoll& poll, Instant now) -> void {
+auto QuotaGate::add_to_poll(traffic::TrafficPoll& poll, Instant now) -> void {
   // Others may use them by now: a new leader must not hear of them and take them over.
   if (now >= m_lease_end) forget_shares();
   m_polls.push_back({poll.sequence, now});
@@ -134,15 +134,15 @@
   }
 }
 
-auto QuotaGate::next_question(std::vector<traffic::TenantCount> wanted, Instant now,
-                              std::vector<traffic::LimitTokenRequest> limited)
+auto QuotaGate::next_token_request(std::vector<traffic::TenantCount> wanted, Instant now,
+                                   std::vector<traffic::LimitTokenRequest> limited)
     -> std::optional<traffic::TokenRequest> {
-  if ((wanted.empty() && limited.empty()) || !may_ask(now)) return std::nullopt;
+  if ((wanted.empty() && limited.empty()) || !may_request_tokens(now)) return std::nullopt;
   m_asked_at = now;
   return traffic::TokenRequest{m_router, ++m_questions, std::move(wanted), std::move(limited)};
 }
 
-auto QuotaGate::may_ask(Instant now) const -> bool {
+auto QuotaGate::may_request_tokens(Instant now) const -> bool {
   return !m_asked_at || now - *m_asked_at >= kQuestionLimit;
 }
 
--- a/src/gateway/quota_gate.h
+++ b/src/gateway/quota_gate.h
@@ -23,8 +23,8 @@
  public:
   enum class Verdict {
     kAdmitted,
-    kAsks,     ///< A token of the leader decides.
-    kRefused,  ///< The leader had none a moment ago.
+    kNeedsToken,  ///< A token of the leader decides.
+    kRefused,     ///< The leader had none a moment ago.
   };
 
   explicit QuotaGate(RouterId router) : m_router(std::move(router)) {}
@@ -41,17 +41,17 @@
   auto retry_after(traffic::TenantName const& tenant, Instant now) const -> Duration;
 
   /// Adds what the leader must know to a poll.
-  auto tell(traffic::TrafficPoll& poll, Instant now) -> void;
+  auto add_to_poll(traffic::TrafficPoll& poll, Instant now) -> void;
   /// Takes the answer to the poll with this sequence.
   auto take(traffic::QuotaGrant const& grant, std::uint64_t poll, Instant now) -> void;
 
   /// What to ask the leader for, when there is something and no question is open.
   /// @param limited what else to ask for: tokens of instances that name limits.
-  auto next_question(std::vector<traffic::TenantCount> wanted, Instant now,
-                     std::vector<traffic::LimitTokenRequest> limited = {})
+  auto next_token_request(std::vector<traffic::TenantCount> wanted, Instant now,
+                          std::vector<traffic::LimitTokenRequest> limited = {})
       -> std::optional<traffic::TokenRequest>;
   /// Whether no question is open.
-  auto may_ask(Instant now) const -> bool;
+  auto may_request_tokens(Instant now) const -> bool;
   /// @return whether the answer is one to the open question.
   auto take(traffic::TokenAnswer const& answer, Instant now) -> bool;
 
--- a/src/gateway/refusals.cc
+++ b/src/gateway/refusals.cc
@@ -45,8 +45,8 @@
   if (reason == RefusalReason::kStaleOwner) return kRetryAfterMinimum;
   // Whoever comes back sooner is refused again.
   if (reason == RefusalReason::kQuarantined) return traffic::kSuspectKept;
-  if (reason == RefusalReason::kResting && request.server_rests_until > now) {
-    return std::clamp<Duration>(request.server_rests_until - now, kRetryAfterMinimum,
+  if (reason == RefusalReason::kResting && request.server_back_off_until > now) {
+    return std::clamp<Duration>(request.server_back_off_until - now, kRetryAfterMinimum,
                                 kRetryAfterMaximum);
   }
   auto const left = request.arrived.time_left - (now - request.received);
--- a/src/gateway/request_ending.cc
+++ b/src/gateway/request_ending.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-void GatewayNode::TakeEnd(LiveRequest& request, const AttemptReport& report, Instant now) {
+void GatewayNode::HandleAttemptEnd(LiveRequest& request, const AttemptReport& report, Instant now) {
   const OpenAttempt ended = *request.open;
   request.open.reset();
   if (report.end == AttemptEnd::kNotSent) {
@@ -27,7 +27,7 @@
     ++request.unsent;
   }
   request.may_have_run = request.may_have_run || may_have_run(report.end);
-  NoteForCrashes(request, report, ended, now);
+  RecordForCrashTracking(request, report, ended, now);
   if (is_final_answer(report)) return Relay(request);
   Note(request.arrived.number, "attempt_failed", ended.instance,
        "end " + std::string(EndName(report.end)) + ", status " + std::to_string(report.status) +
@@ -35,8 +35,8 @@
   RetryOrEnd(request, report, now);
 }
 
-void GatewayNode::NoteForCrashes(const LiveRequest& request, const AttemptReport& report,
-                                 const OpenAttempt& ended, Instant now) {
+void GatewayNode::RecordForCrashTracking(const LiveRequest& request, const AttemptReport& report,
+                                         const OpenAttempt& ended, Instant now) {
   const traffic::RequestDigest digest = request.arrived.digest;
   if (report.end == AttemptEnd::kLost) {
     crashes_.note_lost(digest, ended.instance, ended.sent_at, now);
@@ -49,18 +49,18 @@
   const bool keyed = traffic_.is_keyed(request.service);
   const traffic::KeyRange* const range =
       keyed ? traffic_.keys().Find(request.service, *request.arrived.key) : nullptr;
-  if (report.not_owner && range != nullptr) traffic_.keys().Disown(*range, now + kDisowned);
+  if (report.not_owner && range != nullptr) traffic_.keys().MarkOwnerStale(*range, now + kDisowned);
   if (crashes_.is_quarantined(request.arrived.digest)) {
     return End(request, RefusalReason::kQuarantined, now);
   }
   // The key has no other server; a retry that can't be sent must not use up the budget.
-  if (range != nullptr && RestsForLong(request, range->owner)) {
+  if (range != nullptr && BacksOffPastHold(request, range->owner)) {
     if (may_be_relayed(report)) return Relay(request);
-    request.server_rests_until = traffic_.backends().pressure().rests_until(range->owner);
+    request.server_back_off_until = traffic_.backends().pressure().back_off_until(range->owner);
     return EndWithoutRun(request, RefusalReason::kResting, now);
   }
-  const auto bar =
-      bar_to_retry(request, report.end, BudgetOf(request.service), traffic_.gateway_count(), now);
+  const auto bar = retry_block_reason(request, report.end, BudgetOf(request.service),
+                                      traffic_.gateway_count(), now);
   if (!bar) return Requeue(request, now);
   if (may_be_relayed(report)) return Relay(request);
   End(request, *bar, now);
@@ -114,7 +114,7 @@
 void GatewayNode::Forget(LiveRequest& request) {
   token_queue_.remove(request.tenant, request.arrived.number);
   limit_queue_.remove(request.arrived.number);
-  if (request.counted && request.attempts == 0 && !request.open) {
+  if (request.charged_to_quota && request.attempts == 0 && !request.open) {
     quotas_.give_back(request.tenant);
   }
   if (request.open) {
--- a/src/gateway/request_sending.cc
+++ b/src/gateway/request_sending.cc
@@ -68,10 +68,10 @@
   const Backend* owner = range != nullptr && range->phase == traffic::RangePhase::kServing
                              ? backends.Find(range->owner)
                              : nullptr;
-  if (owner == nullptr || backends.DrainedForLong(*owner, now)) {
+  if (owner == nullptr || backends.DrainAllowanceElapsed(*owner, now)) {
     return WaitForOwner(request, RefusalReason::kNoOwner, now);
   }
-  if (traffic_.keys().Disowned(*range, now)) {
+  if (traffic_.keys().IsOwnerStale(*range, now)) {
     // This gateway's map is behind: the caller had better ask another one soon.
     return Wait(request, RefusalReason::kStaleOwner, short_hold(request), now);
   }
@@ -104,13 +104,13 @@
 }
 
 bool GatewayNode::BeginProbes(LiveRequest& request, Instant now) {
-  if (now < request.probes.rests_until || !probes_.applies(request.service, now)) return false;
+  if (now < request.probes.back_off_until || !probes_.applies(request.service, now)) return false;
   const std::string path = traffic_.health_path(request.service);
   if (path.empty()) return false;
   const ProbeOptions& options = probes_.options();
   ProbeRound& round = request.probes;
   ++round.number;
-  round.told = 0;
+  round.loads_received = 0;
   for (const Backend* const backend :
        traffic_.backends().Draw(request.service, request.tried, options.per_request, now)) {
     const traffic::InstanceReport& instance = backend->instance.report;
@@ -129,21 +129,22 @@
   const std::vector<traffic::InstanceId> asked = std::exchange(request.probes.asked, {});
   request.probes.open = 0;
   Note(request.arrived.number, "probed", {},
-       std::to_string(request.probes.told) + " of " + std::to_string(asked.size()) +
+       std::to_string(request.probes.loads_received) + " of " + std::to_string(asked.size()) +
            " told their load");
-  const Backend* const backend = traffic_.backends().Soonest(asked, request.target_latency, now);
+  const Backend* const backend =
+      traffic_.backends().FastestProbed(asked, request.target_latency, now);
   if (backend == nullptr) {
-    request.probes.rests_until = now + probes_.options().rest;
+    request.probes.back_off_until = now + probes_.options().rest;
     return false;
   }
   return Send(request, *backend, now) == Step::kSent;
 }
 
 GatewayNode::Step GatewayNode::Send(LiveRequest& request, const Backend& backend, Instant now) {
-  if (const auto bar = traffic_.backends().Bar(backend, now)) {
+  if (const auto bar = traffic_.backends().SendBlockReason(backend, now)) {
     const bool keyed = traffic_.is_keyed(request.service);
     if (!keyed) return Wait(request, *bar, short_hold(request), now);
-    if (*bar == RefusalReason::kResting) return WaitForRest(request, backend, now);
+    if (*bar == RefusalReason::kResting) return WaitForBackOff(request, backend, now);
     if (*bar != RefusalReason::kLimited) return WaitForOwner(request, *bar, now);
     if (WaitForToken(request, backend, now) == Step::kWaits) return Step::kWaits;
   }
@@ -151,33 +152,34 @@
   return Step::kSent;
 }
 
-GatewayNode::Step GatewayNode::WaitForRest(LiveRequest& request, const Backend& owner,
-                                           Instant now) {
+GatewayNode::Step GatewayNode::WaitForBackOff(LiveRequest& request, const Backend& owner,
+                                              Instant now) {
   const traffic::InstanceId& id = owner.instance.report.id;
   request.waits_for = RefusalReason::kResting;
-  request.server_rests_until = traffic_.backends().pressure().rests_until(id);
-  const bool ends_soon = !RestsForLong(request, id) && now < request.server_rests_until;
-  requests_.set_timer(request, ends_soon ? request.server_rests_until : Instant{});
+  request.server_back_off_until = traffic_.backends().pressure().back_off_until(id);
+  const bool ends_soon = !BacksOffPastHold(request, id) && now < request.server_back_off_until;
+  requests_.set_timer(request, ends_soon ? request.server_back_off_until : Instant{});
   return Step::kWaits;
 }
 
-bool GatewayNode::RestsForLong(const LiveRequest& request, const traffic::InstanceId& owner) const {
+bool GatewayNode::BacksOffPastHold(const LiveRequest& request,
+                                   const traffic::InstanceId& owner) const {
   const Instant hold_end = std::min(request.hold_from + owner_hold(request), request.give_up);
-  return traffic_.backends().pressure().rests_until(owner) >= hold_end;
+  return traffic_.backends().pressure().back_off_until(owner) >= hold_end;
 }
 
 GatewayNode::Step GatewayNode::WaitForToken(LiveRequest& request, const Backend& owner,
                                             Instant now) {
   const traffic::InstanceId& id = owner.instance.report.id;
   const BackPressureTable& pressure = traffic_.backends().pressure();
-  if (request.asks_since == Instant{}) request.asks_since = now;
+  if (request.token_wait_since == Instant{}) request.token_wait_since = now;
   request.waits_for = RefusalReason::kLimited;
   const Instant end = limit_wait_end(request);
   const bool leader_is_silent = now >= end;
   if (leader_is_silent && pressure.has_own_token(id, kOwnPartWithoutLeader, now)) {
     return Step::kSent;
   }
-  if (leader_is_silent || pressure.is_used_up(id, now)) {
+  if (leader_is_silent || pressure.is_exhausted(id, now)) {
     requests_.set_timer(request, {});
     return Step::kWaits;
   }
@@ -190,7 +192,7 @@
 void GatewayNode::BeginAttempt(LiveRequest& request, const Backend& backend, Instant now) {
   requests_.dequeue(request);
   limit_queue_.remove(request.arrived.number);
-  request.asks_since = {};
+  request.token_wait_since = {};
   const traffic::InstanceId id = backend.instance.report.id;
   Note(request.arrived.number, "send", id, traffic_.backends().Describe(backend, now));
   request.open = OpenAttempt{++request.numbering, id, now};
@@ -223,7 +225,7 @@
                                             Instant now) {
   const Step step = Wait(request, reason, owner_hold(request), now);
   if (request.timer == Instant{}) return step;
-  requests_.set_timer(request, std::min(request.timer, next_owner_look(now)));
+  requests_.set_timer(request, std::min(request.timer, next_owner_check(now)));
   return step;
 }
 
--- a/src/gateway/retry_rules.cc
+++ b/src/gateway/retry_rules.cc
@@ -25,8 +25,8 @@
   return report.end == AttemptEnd::kAnswered && !is_promise(report.status);
 }
 
-auto bar_to_retry(LiveRequest const& request, AttemptEnd end, SharedRetryBudget& budget,
-                  std::uint32_t gateways, Instant now) -> std::optional<RefusalReason> {
+auto retry_block_reason(LiveRequest const& request, AttemptEnd end, SharedRetryBudget& budget,
+                        std::uint32_t gateways, Instant now) -> std::optional<RefusalReason> {
   auto const ran = may_have_run(end);
   if (ran && !traffic::MayRepeat(request.kind)) return RefusalReason::kOutcomeUnknown;
   // Of a request that may have run in this attempt, the caller is told nothing else.
--- a/src/gateway/retry_rules.h
+++ b/src/gateway/retry_rules.h
@@ -26,7 +26,7 @@
 /// Decides whether a request is sent again after an attempt, and takes that out of the budget.
 /// Invariant: an unsafe request that may have run in the attempt is never sent again.
 /// @return nullopt when it is sent again, else why not.
-auto bar_to_retry(LiveRequest const& request, AttemptEnd end, SharedRetryBudget& budget,
-                  std::uint32_t gateways, Instant now) -> std::optional<RefusalReason>;
+auto retry_block_reason(LiveRequest const& request, AttemptEnd end, SharedRetryBudget& budget,
+                        std::uint32_t gateways, Instant now) -> std::optional<RefusalReason>;
 
 }  // namespace graniteseam::gateway
--- a/tests/gateway/back_pressure_table_test.cc
+++ b/tests/gateway/back_pressure_table_test.cc
@@ -88,16 +88,16 @@
 Test(back_pressure_table, control_is_told_of_each_word_once) {
   BackPressureTable table(1);
   table.take(kServer, Limit(5), true, At(0));
-  const auto tell = [&](std::int64_t ms) {
+  const auto add_to_poll = [&](std::int64_t ms) {
     traffic::TrafficPoll poll;
-    table.tell(poll, At(ms));
+    table.add_to_poll(poll, At(ms));
     return poll.limits;
   };
-  cr_assert(table.has_news());
-  cr_assert_eq(tell(300).size(), 1);
-  cr_assert(!table.has_news() && tell(800).empty());
+  cr_assert(table.has_unreported_changes());
+  cr_assert_eq(add_to_poll(300).size(), 1);
+  cr_assert(!table.has_unreported_changes() && add_to_poll(800).empty());
   table.take(kServer, {}, true, At(900));
-  const auto told = tell(1'300);
+  const auto told = add_to_poll(1'300);
   cr_assert_eq(told.size(), 1);
   cr_assert_eq(told.front().requests_per_second, 0);
   cr_assert_eq(told.front().heard_ms_ago, 400);
@@ -112,8 +112,8 @@
   table.take(kServer, {}, true, At(100));
   rest.rest = std::chrono::seconds(1);
   table.take(kServer, rest, false, At(200));
-  cr_assert(table.rests_until(kServer) >= At(3'000));
-  cr_assert(table.rests_until(kServer) < At(3'100));
+  cr_assert(table.back_off_until(kServer) >= At(3'000));
+  cr_assert(table.back_off_until(kServer) < At(3'100));
   BackPressure leaving;
   leaving.leaving = true;
   table.take(kServer, leaving, true, At(300));
--- a/tests/gateway/backend_table_test.cc
+++ b/tests/gateway/backend_table_test.cc
@@ -173,7 +173,7 @@
   Fixture fixture({MakeInstance("a", "near"), MakeInstance("b", "near")});
   fixture.Answer("b", Duration{400'000}, kNow);
   cr_assert(fixture.Choose() == "a");
-  fixture.table.TakeHints({{{"a"}, 0, 100}}, kNow);
+  fixture.table.ApplyHints({{{"a"}, 0, 100}}, kNow);
   cr_assert(fixture.Choose() == "b");
   const Backend* const later =
       fixture.table.Choose(kService, {}, kTarget, kNow + std::chrono::seconds(20));
@@ -183,7 +183,7 @@
 Test(backend_table, gateway_that_meets_its_servers_often_does_not_go_by_what_others_saw) {
   Fixture fixture({MakeInstance("a", "near"), MakeInstance("b", "near")});
   fixture.Answer("b", Duration{100'000}, kNow);
-  fixture.table.TakeHints({{{"a"}, 300'000, 0}, {{"unknown"}, 1, 0}}, kNow);
+  fixture.table.ApplyHints({{{"a"}, 300'000, 0}, {{"unknown"}, 1, 0}}, kNow);
   cr_assert(fixture.Choose() == "a", "it has not met that one yet");
 }
 
@@ -228,7 +228,7 @@
     hints.push_back({instances.back().report.id, latency_us, 0});
   }
   Fixture fixture(instances);
-  fixture.table.TakeHints(hints, kNow);
+  fixture.table.ApplyHints(hints, kNow);
   std::map<std::string, int> chosen;
   for (int request = 0; request < 400; ++request) {
     const Instant now = kNow + std::chrono::milliseconds(250 * request);
@@ -284,9 +284,9 @@
   update.instances[0].state = traffic::InstanceState::kZoneDrained;
   fixture.table.Apply(update, kNow);
   const Backend& owner = *fixture.table.Find({"a"});
-  cr_assert(!fixture.table.DrainedForLong(owner, kNow + Duration{3'000'000}));
+  cr_assert(!fixture.table.DrainAllowanceElapsed(owner, kNow + Duration{3'000'000}));
   // In 5 s nothing may reach it any more.
-  cr_assert(fixture.table.DrainedForLong(owner, kNow + Duration{4'000'000}));
+  cr_assert(fixture.table.DrainAllowanceElapsed(owner, kNow + Duration{4'000'000}));
 }
 
 Test(backend_table, instance_that_warms_up_gets_its_few_requests_and_no_others) {
@@ -364,7 +364,7 @@
   };
   tell("cold", 0, Duration{3'000'000});
   tell("warm", 1, {});
-  const Backend* const chosen = table.Soonest({{"cold"}, {"warm"}}, kTarget, kNow);
+  const Backend* const chosen = table.FastestProbed({{"cold"}, {"warm"}}, kTarget, kNow);
   cr_assert(chosen != nullptr && chosen->instance.report.id.value == "warm");
 }
 
--- a/tests/gateway/crash_watch_test.cc
+++ b/tests/gateway/crash_watch_test.cc
@@ -40,7 +40,7 @@
   for (std::uint64_t sequence = 1; sequence <= 12; ++sequence) {
     traffic::TrafficPoll poll;
     poll.sequence = sequence;
-    watch.tell(poll, At(100));
+    watch.add_to_poll(poll, At(100));
     told += static_cast<int>(poll.losses.size());
     if (sequence == 1) {
       cr_assert(poll.losses[0] == (traffic::LostAttempt{kDigest, {"i-1"}, 100, 50}));
@@ -57,11 +57,11 @@
   }
   traffic::TrafficPoll poll;
   poll.sequence = 4;
-  watch.tell(poll, At(2));
+  watch.add_to_poll(poll, At(2));
   cr_assert_eq(poll.losses.size(), 16);
   traffic::TrafficPoll later;
   later.sequence = 8;
-  watch.tell(later, At(120'000));
+  watch.add_to_poll(later, At(120'000));
   cr_assert(later.losses.empty());
 }
 
@@ -70,7 +70,7 @@
   watch.note_answered(kDigest, At(0));
   watch.take({{kDigest, {{"i-1"}, {"i-2"}}, 5}});
   traffic::TrafficPoll poll;
-  watch.tell(poll, At(300));
+  watch.add_to_poll(poll, At(300));
   cr_assert(poll.answered == (std::vector<traffic::AnsweredRequest>{{kDigest, 300}}));
 }
 
--- a/tests/gateway/feed_watch_test.cc
+++ b/tests/gateway/feed_watch_test.cc
@@ -31,7 +31,7 @@
   for (int second = 0; second < 10; ++second) {
     const auto version = static_cast<std::uint64_t>(100 + second);
     note_answer(watch, "f", version, version - 1, At(1'000 * second));
-    look_at_feed(watch, version, At(1'000 * second + 500));
+    check_feed(watch, version, At(1'000 * second + 500));
   }
   cr_assert_eq(watch.tried, 0U);
   cr_assert_not(watch.asks_leader);
@@ -40,13 +40,13 @@
 Test(feed_watch, feed_that_is_late_is_given_up_until_the_state_is_here) {
   FeedWatch watch;
   note_answer(watch, "f", 20, 10, At(0));
-  look_at_feed(watch, 10, At(500));
+  check_feed(watch, 10, At(500));
   cr_assert_eq(watch.tried, 0U);
   // The leader goes on meanwhile: that does not begin the wait anew.
   note_answer(watch, "f", 30, 10, At(500));
-  look_at_feed(watch, 10, At(1'100));
+  check_feed(watch, 10, At(1'100));
   cr_assert(watch.tried == 1 && watch.asks_leader);
-  look_at_feed(watch, 20, At(1'600));
+  check_feed(watch, 20, At(1'600));
   cr_assert(watch.tried == 1 && !watch.asks_leader);
 }
 
@@ -59,7 +59,7 @@
     const auto version = static_cast<std::uint64_t>(10 + ms);
     note_answer(watch, "f", version + 100'000, version, At(ms));
     const std::uint32_t before = watch.tried;
-    look_at_feed(watch, version, At(ms));
+    check_feed(watch, version, At(ms));
     if (watch.tried != before) given_up.push_back(ms);
   }
   const std::vector<std::int64_t> expected{1'500, 4'500, 10'500};
@@ -69,9 +69,9 @@
 Test(feed_watch, first_state_has_more_time) {
   FeedWatch watch;
   note_answer(watch, "f", 20, 0, At(0));
-  look_at_feed(watch, 0, At(3'500));
+  check_feed(watch, 0, At(3'500));
   cr_assert_eq(watch.tried, 0U);
-  look_at_feed(watch, 0, At(4'000));
+  check_feed(watch, 0, At(4'000));
   cr_assert_eq(watch.tried, 1U);
 }
 
--- a/tests/quota/quota_bound_test.cc
+++ b/tests/quota/quota_bound_test.cc
@@ -151,18 +151,18 @@
   const Instant start = InstantFromMicros(1'000'000'000);
   traffic::TrafficPoll poll;
   poll.sequence = 1;
-  gate.tell(poll, start);
+  gate.add_to_poll(poll, start);
   traffic::QuotaGrant grant;
   grant.next = {7, {{{"t"}, 10, 3}}};
   gate.take(grant, 1, start);
   poll.sequence = 2;
-  gate.tell(poll, start + std::chrono::seconds(1));
+  gate.add_to_poll(poll, start + std::chrono::seconds(1));
   cr_assert_eq(poll.quota.number, 7U);
   grant = {};
   grant.asks_for_shares = true;
   gate.take(grant, 2, start + std::chrono::seconds(1));
   traffic::TrafficPoll late;
   late.sequence = 3;
-  gate.tell(late, start + traffic::kQuotaLease);
+  gate.add_to_poll(late, start + traffic::kQuotaLease);
   cr_assert(late.quota.number == 0 && late.quota.shares.empty());
 }
--- a/tests/quota/quota_world.cc
+++ b/tests/quota/quota_world.cc
@@ -81,7 +81,7 @@
   traffic::TrafficPoll poll;
   poll.router = {"g-" + std::to_string(index)};
   poll.sequence = ++gateway.polls;
-  gateway.gate->tell(poll, now_);
+  gateway.gate->add_to_poll(poll, now_);
   if (!Reachable(gateway)) return;
   const std::uint64_t life = gateway.life;
   Deliver([this, index, poll, life] {
@@ -97,7 +97,7 @@
 
 void QuotaWorld::Ask(std::size_t index) {
   Gateway& gateway = gateways_[index];
-  const auto question = gateway.gate->next_question(gateway.waiting.wanted(), now_);
+  const auto question = gateway.gate->next_token_request(gateway.waiting.wanted(), now_);
   if (!question || !Reachable(gateway)) return;
   const std::uint64_t life = gateway.life;
   Deliver([this, index, question, life] {
@@ -135,7 +135,7 @@
     case gateway::QuotaGate::Verdict::kRefused:
       ++refused_;
       return;
-    case gateway::QuotaGate::Verdict::kAsks:
+    case gateway::QuotaGate::Verdict::kNeedsToken:
       gateway.waiting.add(kTenant, {++requests_});
       gateway.arrived[requests_] = now_;
       Ask(index);
