--- a/include/graniteseam/admission/allotter.h
+++ b/include/graniteseam/admission/allotter.h
@@ -1,6 +1,6 @@
 /// @file
-/// Divides each service's capacity among groups and routers: weighted max-min fairness with
-/// lending of unused share. See docs/design/admission.md.
+/// Divides each service's capacity among groups and routers by weighted max-min fairness; capacity
+/// that no group demands is lent. See docs/design/admission.md.
 #pragma once
 
 #include <cstddef>
@@ -19,70 +19,77 @@
 };
 
 /// Divides `capacity` by weighted max-min fairness (Bertsekas and Gallager, Data Networks, 6.5.2):
-/// nobody gets more than its demand, and nobody who wants more has less per weight than another.
+/// no claimant gets more than its demand, and no claimant with unmet demand has less per weight
+/// than another.
 /// @return one part for each claimant, in order; the sum is min(capacity, sum of demands).
 std::vector<double> WeightedMaxMin(double capacity, const std::vector<Claimant>& claimants);
 
+/// A group that may call a service, and its weight.
 struct GroupWeight {
   GroupName group;
   double weight = 1.0;
 };
 
-/// What one group wants of one service through one router, in concurrent requests.
+/// One group's demand for one service through one router, in concurrent requests.
 struct DemandReport {
   GroupName group;
   ServiceName service;
-  double concurrency_wanted = 0.0;  ///< In flight plus queued, mean.
+  double concurrency_wanted = 0.0;  ///< Mean of in-flight plus queued requests.
 };
 
-/// The concurrent requests that a service's servers take from one router, as its concurrency
-/// windows found out.
+/// The concurrent requests that a service's servers accept from one router, as measured by the
+/// router's concurrency windows.
 struct CapacityReport {
   ServiceName service;
   double concurrency = 0.0;
 };
 
-/// What one group may have in flight at one service through one router.
+/// The concurrent requests that one group may have in flight at one service through one router.
 struct RouterAllotment {
   GroupName group;
   ServiceName service;
   double concurrency = 0.0;
 };
 
+/// Settings of the Allotter.
 struct AllotterOptions {
-  Duration report_lifetime{3'000'000};  ///< A router not heard of for this long wants nothing.
-  Duration recompute_interval{50'000};  ///< Shares are computed anew at most this often.
-  double growth_headroom = 1.25;        ///< Demand is taken as this multiple of what was reported,
-  double burst_deviations = 2.0;        ///< or, where that is more, with this many standard
-                                        ///< deviations of a Poisson count on top.
-  double concurrency_minimum = 1.0;     ///< Floor for each group in each router, so that a group
-                                        ///< that was silent can start before its next report.
+  /// The demand of a router that has not reported for this long counts as zero.
+  Duration report_lifetime{3'000'000};
+  /// Minimum interval between two computations of the shares.
+  Duration recompute_interval{50'000};
+  /// Factor on the reported mean demand; the larger of this estimate and that of burst_deviations
+  /// applies.
+  double growth_headroom = 1.25;
+  /// Standard deviations of a Poisson count that are added to the reported mean demand.
+  double burst_deviations = 2.0;
+  /// Floor for each group in each router, so that an idle group can start before its next report.
+  double concurrency_minimum = 1.0;
 };
 
-/// The control leader's decision maker for shares.
+/// Computes the control leader's concurrency shares.
 ///
 /// Invariant: apart from the floor of concurrency_minimum, the allotments of a service add up to no
-/// more than its capacity. State is soft: a new leader starts empty and learns from renewals;
-/// until then routers keep their last allotment. Not thread safe; deterministic.
+/// more than its capacity. The state is soft: a new leader starts empty and rebuilds it from
+/// renewals; until then routers keep their last allotment. Not thread safe; deterministic.
 class Allotter {
  public:
   explicit Allotter(AllotterOptions options = {});
 
-  /// Names the groups that may call a service and their weights; replaces earlier ones.
+  /// Sets the groups that may call a service and their weights; replaces earlier ones.
   void SetGroups(const ServiceName& service, std::vector<GroupWeight> groups);
-  /// Sets the most concurrent requests that all servers of a service may take together. Where
-  /// routers report less, their sum counts.
+  /// Sets the upper bound of concurrent requests over all servers of a service. If every router
+  /// reports a capacity and the sum of these is lower, the sum applies.
   void SetCapacity(const ServiceName& service, double concurrency);
-  /// Drops services that the bundle in force does not name.
+  /// Removes all services except `services`, the ones in the active bundle.
   void RetainServices(const std::vector<ServiceName>& services);
 
-  /// Takes a router's report; replaces its earlier one.
+  /// Stores a router's report; replaces its earlier one.
   void Report(const RouterId& router, const std::vector<DemandReport>& reports, Instant now,
               const std::vector<CapacityReport>& capacities = {});
-  /// Forgets a router that left.
+  /// Removes a router that left.
   void Forget(const RouterId& router);
 
-  /// Returns what the router may use: every group of every service with a known capacity.
+  /// Returns the router's allotments: one for every group of every service with a known capacity.
   std::vector<RouterAllotment> AllotmentsFor(const RouterId& router, Instant now);
 
  private:
--- a/include/graniteseam/admission/group_limiter.h
+++ b/include/graniteseam/admission/group_limiter.h
@@ -1,5 +1,5 @@
 /// @file
-/// The router's admission for one service: a limit of concurrent requests for each group and a
+/// The router's admission control for one service: a concurrency limit for each group and a
 /// bounded, deadline-aware queue. See docs/design/admission.md.
 #pragma once
 
@@ -16,33 +16,37 @@
 
 namespace graniteseam::admission {
 
-/// Names one request at the driver; unique while the request lives.
+/// Identifies one request at the caller of this library; unique among live requests.
 using RequestNumber = std::uint64_t;
 
-/// A queue of its own within a service: the owning server of a keyed service, or 0 for a pool.
-/// Work for a full server does not hold up work for another.
+/// A separate queue within a service: one for each owning server of a keyed service, or 0 for a
+/// pool. Requests that wait for a full server do not block those for another.
 using Lane = std::uint32_t;
 
+/// A group's share and queue limit in one router.
 struct GroupSettings {
   GroupName group;
   double weight = 1.0;
-  std::uint32_t queue_maximum = 256;  ///< Waiting requests in all lanes together.
+  std::uint32_t queue_maximum = 256;  ///< Limit of waiting requests over all lanes.
 };
 
+/// What happened to an offered request.
 enum class Verdict {
-  kAdmitted,  ///< Holds a place until Release().
-  kQueued,    ///< Wait for a grant, a displacement, or `give_up_at`.
+  kAdmitted,  ///< Holds a slot until Release().
+  kQueued,    ///< Waits to be dispatched or displaced, or for `give_up_at`.
   kRefused,   ///< Not run; answer at once with `retry_after`.
 };
 
+/// The result of GroupLimiter::Offer().
 struct OfferResult {
   Verdict verdict = Verdict::kRefused;
-  Instant give_up_at{};                    ///< When queued: call Withdraw() then.
-  Duration retry_after{};                  ///< When refused, or for the displaced request.
-  std::optional<RequestNumber> displaced;  ///< Lost its place in the queue to this offer: answer it
-                                           ///< at once as not run.
+  Instant give_up_at{};    ///< When queued: call Withdraw() then.
+  Duration retry_after{};  ///< When refused, or for the displaced request.
+  /// A queued request that this offer evicted: answer it at once as not run.
+  std::optional<RequestNumber> displaced;
 };
 
+/// A request that is offered for admission.
 struct OfferedRequest {
   RequestNumber number = 0;
   GroupName group;
@@ -52,33 +56,36 @@
 
 /// Limits and queues one service's requests in one router.
 ///
-/// A request runs when its lane has room and its group is below its limit; among waiting groups the
-/// one with the fewest in flight per weight goes first, within a group the earliest deadline. A
-/// request waits at most half of the time it has left, so that one that is given up is told while
-/// its caller can still go elsewhere. A full queue gives up its earliest deadline.
+/// A request runs when its lane has a free slot and its group is below its limit. Among waiting
+/// groups the one with the fewest requests in flight per weight goes first, within a group the
+/// earliest deadline. A request waits at most half of its remaining time, so that its caller still
+/// has time to try elsewhere after a refusal. A full queue evicts the request with the earliest
+/// deadline.
 ///
 /// Not thread safe: the owner guards it by the service's lock. Deterministic.
 class GroupLimiter {
  public:
-  /// Names the groups; one that is no longer named keeps what it has in flight and takes no more.
+  /// Replaces the configured groups. A group that is no longer configured keeps its requests in
+  /// flight and queues no more.
   void Configure(const std::vector<GroupSettings>& groups);
 
-  /// Sets a group's limit; without one only the lanes limit it.
+  /// Sets a group's concurrency limit; a group without one is limited by the lanes alone.
   void SetLimit(const GroupName& group, double concurrency);
 
-  /// Asks to run a request.
-  /// @param lane_room places free at the lane's servers just now.
+  /// Admits, queues or refuses a request.
+  /// @param lane_room slots that are free at the lane's servers at this moment.
   OfferResult Offer(const OfferedRequest& request, std::size_t lane_room, Instant now);
 
-  /// Gives a place back. Call Dispatch() for the lane afterwards.
+  /// Releases a slot. Call Dispatch() for the lane afterwards.
   void Release(const GroupName& group, Instant now);
 
-  /// Takes a waiting request out.
-  /// @return false when it is not waiting, for example because it was admitted before.
+  /// Removes a waiting request.
+  /// @return false when it is not waiting, for example because it was already admitted.
   bool Withdraw(RequestNumber number);
 
-  /// Admits waiting requests of a lane while it has room; they hold places from now on. One whose
-  /// deadline has passed is admitted too: its owner finds that out and releases the place.
+  /// Admits waiting requests of a lane while it has free slots; each admitted request holds one. A
+  /// request whose deadline has passed is admitted too: its owner detects that and releases the
+  /// slot.
   std::vector<RequestNumber> Dispatch(Lane lane, std::size_t lane_room);
 
   /// Lanes with waiting requests.
@@ -88,7 +95,7 @@
   std::size_t Queued(const GroupName& group) const;
   std::size_t QueuedTotal() const { return waiting_.size(); }
 
-  /// The wait that a new request of the group should expect.
+  /// The estimated queueing time of a new request of the group.
   Duration ExpectedWait(const GroupName& group) const;
 
  private:
@@ -104,7 +111,7 @@
     std::optional<double> limit;
     std::size_t in_flight = 0;
     std::size_t queued = 0;
-    double release_interval_us = 0.0;  ///< Smoothed time between two releases.
+    double release_interval_us = 0.0;  ///< Smoothed interval between two releases, in microseconds.
     Instant last_release{};
     std::map<Lane, Queue> queues;
 
--- a/src/admission/allotter.cc
+++ b/src/admission/allotter.cc
@@ -101,8 +101,8 @@
   stale_ = false;
 }
 
-/// The sum of what routers found out, at most the limit set. A router that reports no capacity of a
-/// service knows nothing against the limit.
+/// The sum of the capacities that routers measured, at most the configured limit. If a router
+/// reports no capacity for the service, the configured limit applies.
 double Allotter::Capacity(const ServiceName& service, const ServiceShares& shares) const {
   double sum = 0.0;
   for (const auto& [router, report] : reports_) {
@@ -119,16 +119,16 @@
   if (by_group == report.wanted.end()) return 0.0;
   const auto wanted = by_group->second.find(group);
   if (wanted == by_group->second.end()) return 0.0;
-  // A mean held to itself is over half of the time too little: small counts vary by their root
-  // (square-root staffing; Halfin and Whitt 1981).
+  // Capacity equal to the mean demand is too little more than half of the time: small counts vary
+  // by their square root (square-root staffing; Halfin and Whitt 1981).
   const double mean = wanted->second;
   return std::max(mean * options_.growth_headroom,
                   mean + options_.burst_deviations * std::sqrt(mean));
 }
 
-/// Two levels: the capacity among groups by weight, then each group's part among routers. What no
-/// group wants is lent: spread by weight and evenly over routers, so that a burst needs no new
-/// report.
+/// Divides at two levels: the capacity among groups by weight, then each group's part among
+/// routers. Capacity that no group demands is lent, by weight and evenly over routers, so that a
+/// burst needs no new report.
 void Allotter::DivideService(const ServiceName& service, const ServiceShares& shares) {
   std::vector<Claimant> group_claims;
   double weight_sum = 0.0;
--- a/src/admission/group_limiter.cc
+++ b/src/admission/group_limiter.cc
@@ -10,7 +10,7 @@
 constexpr double kReleaseSmoothing = 0.1;
 constexpr Duration kRetryAfterMinimum{10'000};
 constexpr Duration kRetryAfterMaximum{10'000'000};
-/// A request may wait this part of the time it has left.
+/// A request may wait for its remaining time divided by this.
 constexpr int kWaitDivisor = 2;
 
 Duration ClampRetryAfter(Duration wait) {
@@ -47,7 +47,7 @@
   const Duration expected = ExpectedWait(request.group);
   result.retry_after = ClampRetryAfter(expected);
   result.give_up_at = now + (request.deadline - now) / kWaitDivisor;
-  // A request that would be given up anyway is told at once.
+  // A request that would time out in the queue is refused at once.
   if (group.queue_maximum == 0 || now + expected > result.give_up_at) return result;
   if (group.queued >= group.queue_maximum) {
     const std::optional<RequestNumber> earliest = EarliestDeadline(group);
@@ -67,7 +67,8 @@
     const auto interval = static_cast<double>((now - group.last_release).count());
     group.release_interval_us += kReleaseSmoothing * (interval - group.release_interval_us);
   }
-  // The gap after an idle time says nothing about how fast the group's work drains.
+  // The interval after an idle period does not reflect the rate at which the group's requests
+  // complete.
   const bool idle = group.in_flight == 0 && group.queued == 0;
   group.last_release = idle ? Instant{} : now;
 }
--- a/src/gateway/back_pressure_table.h
+++ b/src/gateway/back_pressure_table.h
@@ -1,6 +1,6 @@
 /// @file
-/// What servers state of the requests that they take, as a gateway knows it, and what this gateway
-/// may send them by it.
+/// The back pressure that servers report, as far as a gateway has received it, and what this
+/// gateway may send them under it.
 #pragma once
 
 #include <cstdint>
@@ -16,90 +16,95 @@
 
 namespace graniteseam::gateway {
 
-/// A belief that began, changed or ended, for the log.
+/// Back pressure of an instance that began, changed or ended, for the log.
 struct BackPressureChange {
   traffic::InstanceId instance;
   std::string_view what;  ///< For example "limit_named".
   std::string inputs;
 };
 
-/// Each word holds for one life of an instance: a limit until a request that ran there is answered
-/// without one, whichever gateway heard that, a rest for its time, a leaving for good.
+/// Tracks rate limits, back-off periods and announced shutdowns of instances. A report holds for
+/// one incarnation of an instance: a limit until any gateway receives an answer to a request that
+/// ran there without one, a back-off until its time is over, an announced shutdown for good.
 ///
-/// Invariant: a request to an instance that names a limit uses up a token that the leader gave, or
-/// one of this gateway's own. Of those, each gateway has one at a time, at instants drawn by its
-/// seed that are so far apart that all gateways together get a part of the limit; one that is not
-/// used soon is lost, so that gateways which were idle do not all have one at the same moment.
+/// Invariant: each request to an instance with a limit uses up a token from the leader or one of
+/// this gateway's own. A gateway has at most one own token at a time. Own tokens arise at instants
+/// drawn from its seed, spaced so that all gateways together use a part of the limit; one that is
+/// not used soon expires, so that gateways which were idle do not all hold one at the same moment.
 ///
-/// Deterministic under its seed; not thread safe; `now` never goes back.
+/// Deterministic under its seed; not thread safe; `now` must not decrease.
 class BackPressureTable {
  public:
   using Changes = std::vector<BackPressureChange>;
 
   explicit BackPressureTable(std::uint64_t seed) : m_seed(seed) {}
 
-  /// Takes how many gateways there are.
+  /// Sets the number of gateways.
   auto set_gateways(std::uint32_t count) -> void { m_gateways = count; }
 
-  /// Takes what an answer stated.
-  /// @param ran whether the request ran. A server that turns one away may be too busy to name a
-  /// limit, so that only the silence of other answers ends it.
+  /// Applies the back pressure of an answer.
+  /// @param ran whether the request ran. A server that refuses a request may be too busy to report
+  /// a limit, so only an answer to a request that ran ends a limit by leaving it out.
   auto take(traffic::InstanceId const& instance, BackPressure const& pressure, bool ran,
             Instant now) -> Changes;
-  /// Takes what another gateway heard.
+  /// Applies a limit that another gateway received; ignored when not newer than the one stored
+  /// here.
   auto take(traffic::InstanceLimit const& limit, Instant now) -> Changes;
   auto forget(traffic::InstanceId const& instance) -> void { m_entries.erase(instance); }
 
-  /// Adds what was heard since the last call to a poll.
+  /// Adds limits and back-off periods received since the last call to a poll.
   auto add_to_poll(traffic::TrafficPoll& poll, Instant now) -> void;
-  /// Whether something began or ended that no poll has told of.
+  /// Whether back pressure began or ended and no poll has reported it yet.
   auto has_unreported_changes() const -> bool { return m_has_unreported_changes; }
-  /// The limit of an instance as it is known here.
+  /// The limit of an instance as stored here; 0 requests per second for none.
   auto limit_of(traffic::InstanceId const& instance, Instant now) const -> traffic::InstanceLimit;
 
-  /// Whether an instance ever stated anything.
+  /// Whether an instance ever reported back pressure.
   auto knows(traffic::InstanceId const& instance) const -> bool {
     return m_entries.contains(instance);
   }
-  /// Until when an instance wants no request from this gateway; Instant{} where it never asked.
+  /// The instant until which an instance accepts no request from this gateway; Instant{} when it
+  /// never asked for a back-off.
   auto back_off_until(traffic::InstanceId const& instance) const -> Instant;
-  /// Since when an instance is known to leave; nullopt where it does not.
+  /// When an instance was first seen to announce its shutdown; nullopt when it has not.
   auto leaving_since(traffic::InstanceId const& instance) const -> std::optional<Instant>;
   auto is_limited(traffic::InstanceId const& instance) const -> bool;
-  /// Whether a token of the leader's is there.
+  /// Whether a token from the leader is available.
   auto has_token(traffic::InstanceId const& instance) const -> bool;
-  /// Whether one of this gateway's own is there.
-  /// @param part of the limit that all gateways together take by these.
+  /// Whether one of this gateway's own tokens is available.
+  /// @param part of the limit that all gateways together use through own tokens.
   auto has_own_token(traffic::InstanceId const& instance, double part, Instant now) const -> bool;
-  /// Takes an answer of the leader. Its tokens are for requests that wait now: none are kept.
+  /// Stores the tokens of a leader's answer. They are for requests that wait now: the caller drops
+  /// the rest with drop_tokens().
   auto give_tokens(traffic::LimitTokenGrant const& grant, Instant now) -> void;
   auto drop_tokens(traffic::InstanceId const& instance) -> void;
-  /// Whether the leader has just said that there are none.
+  /// Whether the leader recently reported that the instance has no tokens left.
   auto is_exhausted(traffic::InstanceId const& instance, Instant now) const -> bool;
-  /// A request was sent.
+  /// Uses up a token for a request that was sent.
   auto note_sent(traffic::InstanceId const& instance, Instant now) -> void;
 
-  /// Instances that name a limit at present.
+  /// The number of instances with a limit.
   auto limited() const -> std::size_t;
 
  private:
   struct Entry {
-    double limit_per_second = 0;    ///< 0 for none.
-    Instant heard{};                ///< When an answer told that, here or elsewhere.
-    bool unreported_limit = false;  ///< Heard here since control was told.
+    double limit_per_second = 0;  ///< 0 for none.
+    Instant reported_at{};  ///< When an answer last reported the limit, here or at another gateway.
+    bool unreported_limit = false;  ///< Received here since the last poll.
     std::uint32_t tokens = 0;
-    Instant used_up_until{};
+    Instant exhausted_until{};
     Instant limited_since{};
-    Instant sent{};  ///< The last request of this gateway that no token of the leader's covered.
+    /// The last request of this gateway that used no token from the leader.
+    Instant last_own_sent{};
     Instant back_off_until{};
     bool unreported_rest = false;
     std::optional<Instant> leaving_since;
   };
 
-  static auto set_limit(traffic::InstanceId const& instance, Entry& word, double limit, Instant now,
-                        Changes& changes) -> void;
-  static auto take_rest(traffic::InstanceId const& instance, Entry& word, Duration rest,
+  static auto set_limit(traffic::InstanceId const& instance, Entry& entry, double limit,
                         Instant now, Changes& changes) -> void;
+  static auto apply_back_off(traffic::InstanceId const& instance, Entry& entry, Duration rest,
+                             Instant now, Changes& changes) -> void;
   auto find(traffic::InstanceId const& instance) const -> Entry const*;
 
   std::uint64_t const m_seed;
--- a/src/gateway/backend_table.cc
+++ b/src/gateway/backend_table.cc
@@ -10,40 +10,41 @@
 namespace graniteseam::gateway {
 namespace {
 
-/// Weight of the newest latency.
+/// Weight of the newest sample in the mean latency.
 constexpr double kNewestLatency = 0.15;
-/// Weights of the newest answer in what part of them fails. A failure says more than a success: a
-/// sound server fails one in a thousand.
+/// Weights of the newest answer in the mean failure rate. A failure is stronger evidence than a
+/// success: a healthy server fails one request in a thousand.
 constexpr double kNewestFailure = 0.5;
 constexpr double kNewestSuccess = 0.2;
-/// A request's end at its deadline tells of the queue that it stood in, not of the server.
+/// A request that ends at its deadline shows the state of its queue, not of the server.
 constexpr int kDeadlineStatus = 504;
 constexpr int kFirstFailureStatus = 500;
-/// Servers that are about as good are chosen among at random, so that gateways which know the same
-/// don't all choose the same.
+/// Servers with similar expected latency are chosen at random, so that gateways with the same
+/// information do not all choose the same server.
 constexpr double kJitter = 0.15;
-/// Draws for a server that is not known to be full.
+/// Draws before the least loaded of the drawn servers is taken although it may be full.
 constexpr int kDraws = 3;
-/// Requests for each slot at the own zone's servers from which on other zones' are drawn too.
-constexpr double kZoneIsFull = 1.5;
-/// No server is drawn for more than this multiple of the mean speed: a low mean time may stand on
-/// few answers.
-constexpr double kFastest = 2.0;
-/// How long this gateway counts its requests before it says how often it meets a server.
-constexpr Duration kVisitsCounted{3'000'000};
-/// Weight of the newest word in the occupancy of a zone's servers, and how long it is remembered.
+/// Requests per slot at the own zone's servers from which on servers of other zones are drawn too.
+constexpr double kZoneFullOccupancy = 1.5;
+/// Upper bound of a server's assumed speed, as a multiple of the mean: a low mean latency may rest
+/// on few answers.
+constexpr double kSpeedMaximum = 2.0;
+/// How long this gateway counts its requests before the count decides how servers are chosen.
+constexpr Duration kVisitsCountedMinimum{3'000'000};
+/// Weight of the newest load report in the occupancy of a zone's servers, and the time constant
+/// with which the occupancy decays.
 constexpr double kNewestOccupancy = 0.2;
 constexpr Duration kOccupancyMemory{3'000'000};
-/// By which servers tell that work takes as long as usual.
+/// The work time that servers report when work takes as long as usual.
 constexpr double kUsualPercent = 100;
-/// Weight of the newest request in the usual time of a service.
+/// Weight of the newest request in the usual latency of a service.
 constexpr double kNewestUsual = 0.02;
-/// A word of a server's load that is older tells nothing of the moment.
-constexpr Duration kWordIsFresh{100'000};
-/// Of the limit that a server of a pool names, the part that all gateways send it.
+/// An older load report does not describe the current load.
+constexpr Duration kLoadReportMaxAge{100'000};
+/// The part of a pool server's limit that all gateways together send on their own tokens.
 constexpr double kOwnPartOfLimit = 0.5;
-/// Below this part failing servers are drawn still, so that it is found out when they are sound.
-constexpr double kSoundMinimum = 0.05;
+/// Lower bound of the weight of failing servers in a draw, so that their recovery is detected.
+constexpr double kHealthyPartMinimum = 0.05;
 
 double Micros(Duration duration) { return static_cast<double>(duration.count()); }
 
@@ -118,10 +119,10 @@
   const bool drained = backend.instance.state == traffic::InstanceState::kZoneDrained;
   const bool taken_back = !fresh && drained && next.TakesNewWork();
   if (taken_back) backend.warm_at_earliest = now + options_.taken_back_warm_up;
-  const bool news = fresh || taken_back || next.WarmsUp() != backend.instance.WarmsUp();
-  if (!news) return;
-  const Instant told = now + std::chrono::milliseconds(next.report.warmup_left_ms);
-  backend.warm_at = std::max(told, backend.warm_at_earliest);
+  const bool changed = fresh || taken_back || next.WarmsUp() != backend.instance.WarmsUp();
+  if (!changed) return;
+  const Instant reported_warm_at = now + std::chrono::milliseconds(next.report.warmup_left_ms);
+  backend.warm_at = std::max(reported_warm_at, backend.warm_at_earliest);
 }
 
 bool BackendTable::WarmUpAdmits(const Backend& backend, Instant now) const {
@@ -151,7 +152,7 @@
                                                            Instant now) const {
   const traffic::InstanceId& id = backend.instance.report.id;
   if (!pressure_.knows(id)) return std::nullopt;
-  // The owner of a key has no others that could take its requests.
+  // The requests of a key's owner can go to no other server.
   const bool keyed = keyed_.contains(backend.instance.report.service);
   if (now < pressure_.back_off_until(id)) return RefusalReason::kResting;
   if (keyed ? LeavingPastAllowance(id, now) : pressure_.leaving_since(id).has_value()) {
@@ -180,8 +181,8 @@
 }
 
 double BackendTable::LoadOf(const Backend& backend, Instant now) const {
-  // Other gateways' requests end like this one's: their reported number decays with the time that
-  // one takes.
+  // Other gateways' requests end at the rate of this one's: their reported number decays with the
+  // latency of a request.
   const double age = Micros(now - backend.others_at);
   const double fading = std::exp(-age / std::max(1.0, 2 * backend.latency_us));
   return backend.in_flight + backend.others * fading;
@@ -239,7 +240,8 @@
   if (ids == services_.end()) return choice;
   const Backend* best_ejected = nullptr;
   const std::uint32_t share = ConnectionShare(service);
-  const Backend* full = nullptr;  // Where this gateway has all the connections that it may have.
+  // A server at which this gateway has used its share of connections.
+  const Backend* full = nullptr;
   for (const traffic::InstanceId& id : ids->second) {
     const Backend& backend = backends_.at(id);
     const bool was_tried = std::find(tried.begin(), tried.end(), id) != tried.end();
@@ -268,7 +270,7 @@
                                     const std::vector<traffic::InstanceId>& tried, Duration target,
                                     Instant now) {
   const Choice choice = ChoiceOf(service, tried, now);
-  // The few requests that it bears would be lost if they had to wait for chance to draw it.
+  // Such a server accepts few requests; they would be lost if it had to be drawn at random.
   if (choice.rare != nullptr) return choice.rare;
   if (choice.usable.empty()) return choice.last_resort;
   return HasEnoughSamples(service, services_.at(service).size(), now)
@@ -302,7 +304,7 @@
   double least = 0;
   for (const traffic::InstanceId& id : asked) {
     const Backend* const backend = Find(id);
-    if (backend == nullptr || now - backend->others_at > kWordIsFresh) continue;
+    if (backend == nullptr || now - backend->others_at > kLoadReportMaxAge) continue;
     if (!backend->instance.TakesNewWork() || !HasConnectionLeft(*backend)) continue;
     if (!WarmUpAdmits(*backend, now) || SendBlockReason(*backend, now)) continue;
     if (LoadOf(*backend, now) >= SlotsOf(*backend) * (1.0 + options_.waiting_maximum)) continue;
@@ -323,7 +325,7 @@
 }
 
 void BackendTable::NoteUsualTime(const Backend& backend, Duration taken, Instant now) {
-  if (!backend.work_percent || now - backend.others_at > taken + kWordIsFresh) return;
+  if (!backend.work_percent || now - backend.others_at > taken + kLoadReportMaxAge) return;
   const double sample = Micros(taken) * kUsualPercent / *backend.work_percent;
   const auto [known, fresh] = usual_us_.try_emplace(backend.instance.report.service, sample);
   if (!fresh) known->second += kNewestUsual * (sample - known->second);
@@ -341,13 +343,13 @@
 bool BackendTable::HasEnoughSamples(const ServiceName& service, std::size_t servers,
                                     Instant now) const {
   const auto found = visits_.find(service);
-  if (found == visits_.end() || now - found->second.since < kVisitsCounted) return true;
+  if (found == visits_.end() || now - found->second.since < kVisitsCountedMinimum) return true;
   const Visits& visits = found->second;
   const double memory = Micros(options_.visits_memory);
-  const double lately = visits.fading * std::exp(-Micros(now - visits.at) / memory);
-  // What a count that has only begun is short of.
+  const double recent = visits.fading * std::exp(-Micros(now - visits.at) / memory);
+  // Corrects for the period before the count began.
   const double counted = 1 - std::exp(-Micros(now - visits.since) / memory);
-  return lately >= options_.visits_to_know * counted * static_cast<double>(servers);
+  return recent >= options_.visits_to_know * counted * static_cast<double>(servers);
 }
 
 const Backend* BackendTable::ShortestWait(const Backends& usable, Duration target, Instant now) {
@@ -369,7 +371,7 @@
     return backend->instance.report.zone == options_.zone;
   });
   const ServiceZone place{usable.front()->instance.report.service, options_.zone};
-  const bool full = near.empty() || OccupancyOf(place, now) >= kZoneIsFull;
+  const bool full = near.empty() || OccupancyOf(place, now) >= kZoneFullOccupancy;
   const Backend* best = nullptr;
   for (int draw = 0; draw < kDraws; ++draw) {
     const Backend* const drawn = DrawOne(full ? usable : near, now);
@@ -394,14 +396,14 @@
     known += 1;
     latencies += *latency;
   }
-  // Of a server that nobody has met nothing speaks for another speed than that of the others.
+  // A server without latency samples is assumed to have the mean latency of the others.
   const double mean = known > 0 ? std::max(1.0, latencies / known) : 1.0;
   std::vector<double> sums;
   double sum = 0;
   for (const Backend* const backend : backends) {
     const double cold = WarmsUp(*backend, now) ? options_.cold_factor : 1.0;
-    const double sound = std::max(kSoundMinimum, 1 - FailingPart(*backend, now));
-    const double latency = std::max(mean / kFastest, LatencyToDrawBy(*backend).value_or(mean));
+    const double sound = std::max(kHealthyPartMinimum, 1 - FailingPart(*backend, now));
+    const double latency = std::max(mean / kSpeedMaximum, LatencyToDrawBy(*backend).value_or(mean));
     sum += SlotsOf(*backend) * sound / (cold * latency);
     sums.push_back(sum);
   }
@@ -428,7 +430,8 @@
     const auto found = backends_.find(hint.instance);
     if (found == backends_.end()) continue;
     Backend& backend = found->second;
-    // Only draws go by it: by the same hints the shortest wait would be the same server's for all.
+    // Used for draws only: if ShortestWait() used the same hints, all gateways would choose the
+    // same server.
     if (hint.latency_us > 0) backend.hinted_latency_us = hint.latency_us;
     constexpr double kPercent = 100;
     backend.failing = std::max(FailingPart(backend, now), hint.failing_percent / kPercent);
@@ -464,13 +467,13 @@
   backend.ejection = {};
   backend.ejected_until = {};
   backend.paused_until = {};
-  // What fails may fail in no time, and must not pass for fast.
+  // A failing server may fail at once; its latency must not count as fast.
   if (failed) return;
   if (!was_waiting) {
     ++backend.speed.answers;
     backend.speed.busy_us += static_cast<std::uint64_t>(taken.count());
   }
-  // A request that waited tells of the queue, not of the server.
+  // The latency of a request that waited includes its queueing time.
   const double sample = Micros(taken) / (was_waiting ? 1.5 : 1.0);
   const double weight = backend.latency_known ? kNewestLatency : 0.5;
   backend.latency_us += weight * (sample - backend.latency_us);
@@ -479,7 +482,7 @@
 
 bool BackendTable::Unreached(const Backend& backend, const AttemptReport& report) const {
   if (report.end == AttemptEnd::kNotSent || report.end == AttemptEnd::kLost) return true;
-  // Of a pool's server that is to say that another process has its address.
+  // For a pool server it means that another process has taken its address.
   return report.not_owner && !keyed_.contains(backend.instance.report.service);
 }
 
@@ -498,8 +501,8 @@
 void BackendTable::ApplyLoad(Backend& backend, const ReportedLoad& load, Instant now) {
   const ServiceZone place{backend.instance.report.service, backend.instance.report.zone};
   Occupancy& occupancy = occupancies_[place];
-  const double word = (load.running + load.waiting) / std::max(1.0, load.slots);
-  occupancy.mean += kNewestOccupancy * (word - occupancy.mean);
+  const double reported = (load.running + load.waiting) / std::max(1.0, load.slots);
+  occupancy.mean += kNewestOccupancy * (reported - occupancy.mean);
   occupancy.at = now;
   backend.others = std::max(0.0, load.running + load.waiting - backend.in_flight);
   backend.others_at = now;
@@ -507,9 +510,9 @@
   if (load.slots > 0) backend.instance.report.slots = std::llround(load.slots);
 }
 
-/// Full servers reset connections. All gateways that ask one owner must together ask no more than
-/// it can do, without knowing of each other: each leaves it alone for longer the more it fails, and
-/// for a span of its own.
+/// Full servers reset connections. All gateways that send to one owner must together stay within
+/// its capacity without coordination: each pauses for longer the more attempts fail, with a random
+/// spread.
 void BackendTable::Fail(Backend& backend, Instant now) {
   ++backend.failures;
   if (backend.failures < options_.failures_to_eject) return;
@@ -528,7 +531,7 @@
 std::string BackendTable::Describe(const Backend& backend, Instant now) const {
   char text[160];
   const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - backend.others_at);
-  std::snprintf(text, sizeof(text), "load %.1f of %.0f, word %lld ms old, latency %.0f ms%s",
+  std::snprintf(text, sizeof(text), "load %.1f of %.0f, reported %lld ms ago, latency %.0f ms%s",
                 LoadOf(backend, now), SlotsOf(backend),
                 backend.others_at == Instant{} ? -1LL : static_cast<long long>(age.count()),
                 backend.latency_us / 1000, WarmsUp(backend, now) ? ", warms up" : "");
--- a/src/gateway/backend_table.h
+++ b/src/gateway/backend_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a gateway knows of the servers: who there is, what they carry, and how they did lately.
+/// A gateway's view of the servers: which exist, their load, and their recent latency and failures.
 #pragma once
 
 #include <algorithm>
@@ -19,160 +19,167 @@
 
 namespace graniteseam::gateway {
 
+/// Settings of the BackendTable.
 struct BackendOptions {
-  ZoneName zone;  ///< Of this gateway.
-  /// Part of the target latency that a server of another zone must save to be preferred: bytes
-  /// between zones cost, and an answer within its target is worth no more for being sooner.
+  ZoneName zone;  ///< The zone of this gateway.
+  /// The part of the target latency that a server of another zone must save to be preferred:
+  /// traffic between zones costs money, and an answer within its target gains nothing from being
+  /// sooner.
   double cross_zone_part = 0.25;
-  Duration first_latency{80'000};  ///< Taken for a server that has not answered yet.
+  Duration first_latency{80'000};  ///< Assumed latency of a server that has not answered yet.
   Duration ejection{1'000'000};    ///< After failures in a row; doubles up to ejection_maximum.
   Duration ejection_maximum{4'000'000};
   int failures_to_eject = 2;
-  /// An owner of keys that failed so often in a row is left alone for about this part of its
-  /// latency, twice as long after each further failure.
+  /// An owner of keys with this many failures in a row (failures_to_eject) is paused for about this
+  /// multiple of its latency, doubled after each further failure.
   double pause_part = 1.0;
   Duration pause_maximum{2'000'000};
-  /// How long the owner of keys that drains still gets their requests, while they find their next.
+  /// How long an owner of keys that drains still gets their requests while the keys move to their
+  /// next owners.
   Duration drain_allowance{1'000'000};
-  /// The same of an owner whose zone is drained. Hundreds of owners' keys move together then, and
-  /// control paces them. Long enough for that, and short enough that the last request is with its
-  /// owner in the 5 s after which a drained zone is to get none.
+  /// The same for an owner whose zone is drained. The keys of hundreds of owners move together
+  /// then, at a rate that control limits. Long enough for that, and short enough that the last
+  /// request reaches its owner within the 5 s after which a drained zone must get none.
   Duration zone_drain_allowance{3'500'000};
-  /// Requests a second that an instance of a pool may get from all gateways while it warms up; 0:
-  /// no bound, and it is only taken for slower.
+  /// Requests per second that a warming-up instance of a pool may get from all gateways; 0: no
+  /// bound, only its assumed latency is higher.
   double warm_up_requests_per_second = 0;
-  /// For which an instance whose zone is taken back counts as warming up whatever it says: its
-  /// next heartbeats may have been sent before it became cold.
+  /// How long an instance counts as warming up after its zone is taken back, regardless of its own
+  /// reports: its next heartbeats may have been sent before it became cold.
   Duration taken_back_warm_up{1'500'000};
-  /// Targets by which a server that fails all requests is taken for slower: a failure costs all
-  /// that an answer is worth, so that a long wait elsewhere is better.
+  /// Penalty for a server that fails all requests, in target latencies: a failure costs the whole
+  /// value of an answer, so a long wait elsewhere is better.
   double failure_targets = 4.0;
-  /// With which the memory of failures fades, so that a server is tried again. As long as the
-  /// ejection of one that breaks connections.
+  /// Time constant with which recorded failures decay, so that a server is tried again. As long as
+  /// the ejection of a server that breaks connections.
   Duration failure_memory{4'000'000};
-  double cold_factor = 2.0;      ///< By which a server that warms up is taken for slower.
-  double waiting_maximum = 2.0;  ///< Requests for each slot that may wait at a server.
-  /// Requests that each server of a service must get from this gateway on the average within
-  /// visits_memory for what this gateway saw of them to say which one is best. With fewer, all
-  /// gateways would go by the same hints to the same few.
+  double cold_factor = 2.0;      ///< Factor on the latency of a server that warms up.
+  double waiting_maximum = 2.0;  ///< Requests per slot that may wait at a server.
+  /// Mean number of requests that each server of a service must get from this gateway within
+  /// visits_memory for this gateway's own samples to decide which server is best. With fewer, all
+  /// gateways would follow the same hints to the same few servers.
   double visits_to_know = 2.0;
   Duration visits_memory{10'000'000};
 };
 
-/// One server with what was seen of it.
+/// One server and this gateway's measurements of it.
 struct Backend {
   traffic::Instance instance;
   Instant warm_at{};
-  Instant warm_at_earliest{};   ///< Whatever it says.
-  Instant drained_since{};      ///< At the earliest; while it takes no new work.
-  std::uint32_t in_flight = 0;  ///< Of this gateway.
-  double others = 0;            ///< Of other gateways, as last reported.
-  Instant others_at{};          ///< When it last told of its load.
-  /// How long work took there when it last told, in percent of what is usual; not told by all.
+  Instant warm_at_earliest{};  ///< Lower bound of warm_at, regardless of the instance's reports.
+  /// Earliest instant at which it may have stopped taking new work; valid while it takes none.
+  Instant drained_since{};
+  std::uint32_t in_flight = 0;  ///< Requests of this gateway.
+  double others = 0;            ///< Requests of other gateways, as last reported.
+  Instant others_at{};          ///< When the server last reported its load.
+  /// Work time at the last load report, in percent of the usual; not every server reports it.
   std::optional<double> work_percent;
-  double latency_us = 0;  ///< Mean time of one request that did not wait.
+  double latency_us = 0;  ///< Mean latency of a request that did not wait.
   bool latency_known = false;
-  double hinted_latency_us = 0;  ///< As all gateways saw it; 0 when not told.
-  traffic::InstanceSpeed speed;  ///< Since it was last told.
-  int failures = 0;              ///< In a row.
-  double failing = 0;            ///< Mean part of answers that told of a failure, as of failing_at.
+  double hinted_latency_us = 0;  ///< From all gateways' samples; 0 when control sent none.
+  traffic::InstanceSpeed speed;  ///< Samples since the last poll that included them.
+  int failures = 0;              ///< Consecutive failures.
+  double failing = 0;            ///< Mean part of answers that were failures, as of failing_at.
   Instant failing_at{};
   Duration ejection{};
   Instant ejected_until{};
-  Instant paused_until{};  ///< As the owner of keys, for which there is no other server.
+  Instant paused_until{};  ///< For an owner of keys, whose requests can go to no other server.
 };
 
-/// Chooses servers by the shortest wait to expect. Deterministic under its seed; not thread safe;
-/// `now` never goes back.
+/// Chooses servers by the shortest expected wait. Deterministic under its seed; not thread safe;
+/// `now` must not decrease.
 class BackendTable {
  public:
   using Backends = std::vector<const Backend*>;
 
   BackendTable(BackendOptions options, std::uint64_t seed);
 
-  /// Takes an update's instances; one with base 0 replaces all, keeping what was seen of those that
-  /// stay.
+  /// Applies an update's instances. One with base 0 replaces all; measurements of instances that
+  /// remain are kept.
   void Apply(const traffic::TrafficUpdate& update, Instant now);
 
-  /// Takes how many connections servers accept, by service, and how many gateways share them.
+  /// Sets the number of connections that servers accept, by service, and the number of gateways
+  /// that share them.
   void ShareConnections(const std::map<ServiceName, traffic::Service>& services,
                         std::uint32_t gateways);
 
-  /// The instances of a service, by their ids.
+  /// The instances of a service, sorted by id.
   std::vector<traffic::InstanceId> Listed(const ServiceName& service) const {
     const auto listed = services_.find(service);
     return listed == services_.end() ? std::vector<traffic::InstanceId>{} : listed->second;
   }
 
-  /// Tells that what is known is all that was true at an instant. What the next update says may
-  /// have become true any time from then on.
+  /// Records that the state here was complete as of an instant. A change in the next update may
+  /// have taken effect at any time from then on.
   void Confirm(Instant at) { confirmed_at_ = std::max(confirmed_at_, at); }
 
-  /// Takes this gateway's place among all, by which instances that warm up are shared.
+  /// Sets this gateway's place among all gateways, by which warming-up instances are divided.
   void SetPlace(const GatewayPlace& place) { warm_ups_.set_place(place); }
 
-  /// Takes what all gateways together saw.
+  /// Applies the latencies and failure rates that control aggregated over all gateways.
   void ApplyHints(const std::vector<traffic::InstanceHint>& hints, Instant now);
 
   const Backend* Find(const traffic::InstanceId& id) const;
-  /// Whether a server has been without new work, or said that it leaves, for so long that its
-  /// promise to get none is due.
+  /// Whether a server has taken no new work, or announced its shutdown, for so long that it must
+  /// get no more requests.
   bool DrainAllowanceElapsed(const Backend& backend, Instant now) const;
 
-  /// The server of a service with the shortest wait to expect, without those in `tried`; one drawn
-  /// by its speed where this gateway meets them too rarely to know.
-  /// @param target within which an answer is worth most.
-  /// @return nullptr when none takes new work.
+  /// The server of a service with the shortest expected wait, without those in `tried`. Drawn by
+  /// speed if this gateway sends to the servers too rarely to have current samples.
+  /// @param target latency within which an answer has its full value.
+  /// @return nullptr when no server takes new work.
   const Backend* Choose(const ServiceName& service, const std::vector<traffic::InstanceId>& tried,
                         Duration target, Instant now);
 
-  /// Servers to ask for their load before a request is sent: drawn by their speeds, the last one
-  /// from another zone, so that a zone which is fuller than others is found out.
-  /// @return none where an instance that warms up is to get the request, or there is no choice.
+  /// Draws servers to probe for their load before a request is sent: by speed, the last one from
+  /// another zone, so that a zone which is fuller than others is detected.
+  /// @return none if a warming-up or limited instance is to get the request, or if there is no
+  /// choice.
   Backends Draw(const ServiceName& service, const std::vector<traffic::InstanceId>& tried,
                 std::size_t count, Instant now);
-  /// Of servers that were asked, the one that would answer first, by what they just told.
+  /// The probed server with the earliest expected completion by its newest load report.
   /// @return nullptr when none of them answered and has room.
   const Backend* FastestProbed(const std::vector<traffic::InstanceId>& asked, Duration target,
                                Instant now) const;
-  /// Takes what came of asking a server.
+  /// Applies the result of a probe.
   void OnProbed(const ProbeReport& report, Instant now);
 
-  /// Whether a request that is sent now may still be answered within its target: otherwise it waits
-  /// here, where it can be refused early and where nobody resets it for a full queue.
+  /// Whether a request sent now may still be answered within its target. Otherwise it waits in the
+  /// gateway, where it can be refused early and no full server resets its connection.
   bool HasRoom(const Backend& backend, Duration target, Instant now) const;
-  /// Whether a request that is sent now would find a free slot, by the best guess.
+  /// Whether a request sent now is estimated to find a free slot.
   bool HasFreeSlot(const Backend& backend, Instant now) const;
-  /// Requests that are at a server at present, by the best guess.
+  /// The estimated number of requests at a server.
   double LoadOf(const Backend& backend, Instant now) const;
 
   void OnSent(const traffic::InstanceId& id, Instant now);
+  /// Records the end of an attempt.
   /// @param taken from sending to the end.
   void OnEnded(const traffic::InstanceId& id, const AttemptReport& report, Duration taken,
                Instant now);
   void OnAbandoned(const traffic::InstanceId& id);
 
-  /// Why this gateway may send a server no request now, by what the server states of those that it
-  /// takes; nullopt when it may.
+  /// Why this gateway may not send a server a request now because of the server's back pressure;
+  /// nullopt when it may.
   std::optional<RefusalReason> SendBlockReason(const Backend& backend, Instant now) const;
   BackPressureTable& pressure() { return pressure_; }
   const BackPressureTable& pressure() const { return pressure_; }
 
-  /// Speeds of servers that were seen since they were last taken.
-  /// @param all false: only of those that failed meanwhile, which control should know at once.
+  /// Returns the latency and failure samples since the last call and clears them.
+  /// @param all false: only those of servers with failures, which control needs at once.
   std::vector<traffic::InstanceSpeed> TakeSpeeds(bool all);
 
-  /// "load 2.1 of 2, word 120 ms old, latency 61 ms" for the log.
+  /// "load 2.1 of 2, reported 120 ms ago, latency 61 ms" for the log.
   std::string Describe(const Backend& backend, Instant now) const;
 
  private:
-  /// What this gateway sent to a service lately.
+  /// This gateway's recent requests to a service, exponentially decayed.
   struct Visits {
     double fading = 0;
     Instant at{};
     Instant since{};
   };
-  /// Requests for each slot at the servers of a zone, as their answers told lately.
+  /// Recent requests per slot at the servers of a zone, from their load reports.
   struct Occupancy {
     double mean = 0;
     Instant at{};
@@ -183,60 +190,64 @@
     auto operator<=>(const ServiceZone&) const = default;
   };
 
-  /// Lists an instance by its service, one at a time: an update of a few must not go over ten
-  /// thousand.
-  /// @param listed whether `backend`, as it was, is.
+  /// Adds an instance to its service's list. Works on one instance at a time: an update of a few
+  /// instances must not iterate over ten thousand.
+  /// @param listed whether `backend`, in its previous state, is in a list.
   void List(const Backend& backend, bool listed, const traffic::Instance& next);
   void Unlist(const Backend& backend);
   void Remove(const traffic::InstanceId& id);
-  /// Takes what control says of an instance's warm-up.
+  /// Applies control's report on an instance's warm-up.
   void UpdateWarmUp(Backend& backend, const traffic::Instance& next, bool fresh, Instant now);
-  /// Whether the owner of keys said so long ago that it leaves that it is to get no more requests.
+  /// Whether an owner of keys announced its shutdown longer ago than drain_allowance, so that it
+  /// must get no more requests.
   bool LeavingPastAllowance(const traffic::InstanceId& id, Instant now) const;
-  /// Whether this gateway may send a server a request now, as far as its warm-up goes; also of one
-  /// that has just told a probe that it turned cold.
+  /// Whether this gateway may send a server a request now as regards its warm-up; applies also to a
+  /// server whose warm-up was just reported by a probe.
   bool WarmUpAdmits(const Backend& backend, Instant now) const;
   static bool WarmsUp(const Backend& backend, Instant now) { return now < backend.warm_at; }
 
-  /// Whether this gateway meets each server of a service often enough to know how it does.
+  /// Whether this gateway sends to each server of a service often enough to choose by its own
+  /// samples.
   bool HasEnoughSamples(const ServiceName& service, std::size_t servers, Instant now) const;
-  /// The servers of a service that a request may go to.
+  /// The servers of a service that a request may be sent to.
   struct Choice {
     Backends usable;
-    /// One that may get a single request from this gateway now: it warms up, or names a limit.
+    /// A server that may get only a single request from this gateway now, because it warms up or
+    /// has a limit.
     const Backend* rare = nullptr;
-    /// Where nothing is usable: one at which this gateway has all its connections, or else the
-    /// ejected one that is tried again first.
+    /// Used when `usable` is empty: a server at which this gateway has used its share of
+    /// connections, or else the ejected one whose ejection ends first.
     const Backend* last_resort = nullptr;
   };
   Choice ChoiceOf(const ServiceName& service, const std::vector<traffic::InstanceId>& tried,
                   Instant now) const;
-  /// Time until a server that told of its load just now would have answered a further request.
+  /// Expected latency of a further request at a server that has just reported its load.
   double CompletionMicros(const Backend& backend, Duration target, Instant now) const;
-  /// Takes the time of a request for what is usual in its service.
+  /// Adds a request's latency to the usual latency of its service.
   void NoteUsualTime(const Backend& backend, Duration taken, Instant now);
   const Backend* ShortestWait(const Backends& usable, Duration target, Instant now);
-  /// Draws from the own zone, from all while that zone's servers are full.
+  /// Draws from the own zone, or from all zones while the own zone's servers are full.
   const Backend* DrawWithRoom(const Backends& usable, Instant now);
-  /// One of `backends`, each as probable as it is fast, so that all get the same load for their
-  /// speed; there must be one.
+  /// Draws one of `backends`, each with a probability proportional to its speed, so that all get
+  /// the same load relative to it; `backends` must not be empty.
   const Backend* DrawOne(const Backends& backends, Instant now);
-  /// The best known latency of a server that is to be drawn; nullopt when there is none.
+  /// The latency by which a server is drawn: the hinted one, else this gateway's own mean; nullopt
+  /// without either.
   static std::optional<double> LatencyToDrawBy(const Backend& backend);
-  /// Requests for each slot at a zone's servers, by their words of the last seconds; 0 when
+  /// Requests per slot at a zone's servers by their load reports of the last seconds; 0 when
   /// unknown.
   double OccupancyOf(const ServiceZone& place, Instant now) const;
   double ExpectedMicros(const Backend& backend, Duration target, Instant now) const;
-  /// What weighs against a server beside its time: bytes between zones, and that it fails.
+  /// The cost of a server beside its latency, in microseconds: traffic between zones, and failures.
   double PenaltyMicros(const Backend& backend, Duration target, Instant now) const;
-  /// Part of the next requests that a server is taken to fail.
+  /// The expected part of further requests that a server fails.
   double FailingPart(const Backend& backend, Instant now) const;
   void NoteOutcome(Backend& backend, bool failed, Instant now) const;
   void ApplyLoad(Backend& backend, const ReportedLoad& load, Instant now);
-  /// Whether an attempt ended without a whole answer of the server that was meant.
+  /// Whether an attempt ended without a complete answer from the intended server.
   bool Unreached(const Backend& backend, const AttemptReport& report) const;
   void Fail(Backend& backend, Instant now);
-  /// Requests that this gateway may have at one server of a service at once.
+  /// The maximum of this gateway's concurrent requests to one server of a service.
   std::uint32_t ConnectionShare(const ServiceName& service) const;
   bool HasConnectionLeft(const Backend& backend) const;
 
@@ -251,7 +262,7 @@
   std::set<ServiceName> keyed_;
   std::map<ServiceName, Visits> visits_;
   std::map<ServiceZone, Occupancy> occupancies_;
-  /// Mean time of a request, by service, as it would be where work takes as long as usual.
+  /// Mean latency of a request by service, normalised to usual work time, in microseconds.
   std::map<ServiceName, double> usual_us_;
 };
 
--- a/src/gateway/connection_share.h
+++ b/src/gateway/connection_share.h
@@ -1,5 +1,5 @@
 /// @file
-/// How many connections one gateway may have to one server.
+/// Computes how many connections one gateway may have to one server.
 #pragma once
 
 #include <algorithm>
@@ -7,19 +7,20 @@
 
 namespace graniteseam::gateway {
 
-/// What bounds the connections to one server.
+/// Inputs to a gateway's share of the connections to one server.
 struct ConnectionBounds {
-  std::int64_t accepted_by_server = 0;  ///< From all callers together; 0 when none is stated.
-  std::uint32_t gateways = 1;           ///< That share them.
+  std::int64_t accepted_by_server = 0;  ///< From all callers together; 0 when not stated.
+  std::uint32_t gateways = 1;           ///< Number of gateways that share them.
 };
 
-/// Left to control's orders and to connections that the server has not yet seen end.
+/// The part of the accepted connections that gateways share; the rest is reserved for control's
+/// requests and for connections whose end the server has not yet seen.
 inline constexpr double kSharedPart = 0.9;
 
-/// @return the requests that one gateway may have at one server at once, each on a connection of
-/// its own: an equal part of what the server accepts, and 1 at least. A server resets connections
-/// beyond its bound after they came up, so that a request may already be on its way: its fate is
-/// then unknown, and it may not be sent again.
+/// @return the maximum of concurrent requests, each on its own connection, from one gateway to one
+/// server: an equal part of what the server accepts, at least 1. A server resets connections beyond
+/// its bound after they are established, when a request may already be on its way: its outcome is
+/// then unknown, and it must not be sent again.
 inline auto connection_share(ConnectionBounds const& bounds) -> std::uint32_t {
   if (bounds.accepted_by_server <= 0) return UINT32_MAX;
   auto const shared = static_cast<double>(bounds.accepted_by_server) * kSharedPart;
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_watch.cc
@@ -7,16 +7,17 @@
 namespace graniteseam::gateway {
 namespace {
 
-/// As long as control counts them.
+/// As long as control counts losses.
 constexpr Duration kLossKept{60'000'000};
 constexpr std::size_t kLossesMaximum = 128;
-/// Polls in a row that tell of a loss: one may be lost with its connection.
-constexpr std::uint32_t kTellings = 4;
-/// After those, one poll in so many tells of it again, for a leader that is new: 2 s.
-constexpr std::uint64_t kPollsPerTelling = 4;
-/// Losses told in one poll, the newest first: about 50 bytes each.
-constexpr std::size_t kToldMaximum = 16;
-/// Answers are remembered for one to two of these, or so many of them: about 40 bytes each.
+/// Consecutive polls that report a loss: a poll may be lost with its connection.
+constexpr std::uint32_t kConsecutiveReports = 4;
+/// After those, one poll in this many repeats the loss, in case the leader is new: every 2 s.
+constexpr std::uint64_t kPollsPerRepeat = 4;
+/// Losses in one poll, newest first; about 50 bytes each.
+constexpr std::size_t kReportedMaximum = 16;
+/// Answers are kept for one to two of these periods, or up to twice this number of them; about 40
+/// bytes each.
 constexpr Duration kAnswersKept{30'000'000};
 constexpr std::size_t kAnswersMaximum = 8'192;
 
@@ -61,11 +62,11 @@
 
 auto CrashWatch::add_to_poll(traffic::TrafficPoll& poll, Instant now) -> void {
   while (!m_losses.empty() && now - m_losses.front().lost_at > kLossKept) m_losses.pop_front();
-  auto const tells_all = poll.sequence % kPollsPerTelling == 0;
+  auto const repeats_all = poll.sequence % kPollsPerRepeat == 0;
   for (auto loss = m_losses.rbegin(); loss != m_losses.rend(); ++loss) {
-    if (poll.losses.size() >= kToldMaximum) break;
-    if (loss->told >= kTellings && !tells_all) continue;
-    ++loss->told;
+    if (poll.losses.size() >= kReportedMaximum) break;
+    if (loss->reports >= kConsecutiveReports && !repeats_all) continue;
+    ++loss->reports;
     poll.losses.push_back({loss->digest, loss->instance, ms_between(loss->sent_at, now),
                            ms_between(loss->lost_at, now)});
   }
--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a gateway sees of requests that end their servers, and what control tells it of them.
+/// Tracks requests under which servers crashed, and the list of suspects from control.
 #pragma once
 
 #include <cstdint>
@@ -15,26 +15,28 @@
 
 namespace graniteseam::gateway {
 
-/// One gateway sees one end of a server among many; only together they see that the same request
-/// was at all of them. So it tells control each loss, several times over since a leader may change,
-/// and refuses what control found. What it was told stands while it is cut off from control.
+/// Reports lost attempts to control and refuses quarantined requests. One gateway sees one crash
+/// among many servers; only the reports of all gateways together show that the same request was at
+/// each of them. Each loss is reported several times, since the leader may change. The list of
+/// suspects stays in force while the gateway is cut off from control.
 ///
-/// Bounded; not thread safe; `now` never goes back.
+/// Bounded; not thread safe; `now` must not decrease.
 class CrashWatch {
  public:
-  /// Takes the whole list of suspects.
+  /// Replaces the list of suspects.
   auto take(std::vector<traffic::SuspectRequest> const& suspects) -> void;
-  /// Whether servers ended under the same request so often that it goes to none any more.
+  /// Whether servers crashed under this request so often that it is sent to none any more.
   auto is_quarantined(traffic::RequestDigest digest) const -> bool;
 
-  /// An attempt was sent and ended without an answer.
+  /// Records an attempt that was sent and ended without an answer.
   auto note_lost(traffic::RequestDigest digest, traffic::InstanceId const& instance,
                  Instant sent_at, Instant now) -> void;
-  /// A server ran a request and answered it. Remembered also when it is no suspect: what many
-  /// callers ask for may become one only because it is always under way somewhere.
+  /// Records that a server ran and answered a request. Also kept for requests that are not
+  /// suspects: a frequent request may become a suspect only because it is always in flight
+  /// somewhere.
   auto note_answered(traffic::RequestDigest digest, Instant now) -> void;
 
-  /// Adds to a poll what control should know.
+  /// Adds losses, and answers to suspects, to a poll.
   auto add_to_poll(traffic::TrafficPoll& poll, Instant now) -> void;
 
  private:
@@ -43,17 +45,17 @@
     traffic::InstanceId instance;
     Instant sent_at{};
     Instant lost_at{};
-    std::uint32_t told = 0;  ///< Polls that told of it.
+    std::uint32_t reports = 0;  ///< Polls that included this loss.
   };
   using Answers = std::unordered_map<traffic::RequestDigest, Instant>;
 
-  /// When a request was answered here last, as far as that is remembered.
+  /// When a request was last answered here; nullopt when no such answer is kept.
   auto last_answer(traffic::RequestDigest digest) const -> std::optional<Instant>;
 
-  std::deque<Loss> m_losses;                          ///< From the oldest on.
-  std::map<traffic::RequestDigest, bool> m_suspects;  ///< With whether they are quarantined.
+  std::deque<Loss> m_losses;                          ///< Oldest first.
+  std::map<traffic::RequestDigest, bool> m_suspects;  ///< Whether each suspect is quarantined.
   Answers m_answers;                                  ///< Since `m_answers_since`.
-  Answers m_earlier_answers;                          ///< Of the time before.
+  Answers m_earlier_answers;                          ///< Of the period before.
   Instant m_answers_since{};
 };
 
--- a/src/gateway/feed_watch.cc
+++ b/src/gateway/feed_watch.cc
@@ -5,18 +5,18 @@
 namespace graniteseam::gateway {
 namespace {
 
-/// Changes come from a feed within a tenth of a second, those that have time within 0.3 s. A feed
-/// that brings nothing for so long although the leader has more is cut off from it, or gone: with
-/// an interval of polls before and after, a change is here 1.6 s after its commit all the same,
-/// within the 2 s that the users allow.
-constexpr Duration kStillFor{600'000};
-/// One that brings something, and is behind for so long, is slow. What is slow may be this
+/// Changes arrive from a feed within 0.1 s, deferrable ones within 0.3 s. A feed that delivers
+/// nothing for this long although the leader has a newer version is cut off from the leader or
+/// gone. With a poll interval before and after, a change still arrives within 1.6 s of its
+/// commit, inside the 2 s that users allow.
+constexpr Duration kStallTimeout{600'000};
+/// A feed that delivers updates but stays behind for this long is slow. The cause may be this
 /// gateway's own link, over which the state of a large fleet takes seconds while it changes:
-/// another feed would only add to that, so that the time is doubled with each that is given up.
-constexpr Duration kBehindFor{1'500'000};
-constexpr std::uint32_t kDoubledAtMost = 3;
-/// For the first state. All gateways of a zone may ask for it together.
-constexpr Duration kFirstFor{4'000'000};
+/// another feed would only add to that, so the timeout doubles with each abandoned feed.
+constexpr Duration kLagTimeout{1'500'000};
+constexpr std::uint32_t kDoublingsMaximum = 3;
+/// For the first state, which all gateways of a zone may request together.
+constexpr Duration kFirstStateTimeout{4'000'000};
 
 }  // namespace
 
@@ -39,11 +39,12 @@
     watch.late = 0;
     return;
   }
-  auto const behind = now - watch.awaited_since;
-  auto const still = now - std::max(watch.awaited_since, watch.advanced_at);
-  auto const patience = kBehindFor * (1 << std::min(watch.late, kDoubledAtMost));
+  auto const behind_for = now - watch.awaited_since;
+  auto const stalled_for = now - std::max(watch.awaited_since, watch.advanced_at);
+  auto const lag_timeout = kLagTimeout * (1 << std::min(watch.late, kDoublingsMaximum));
   auto const first = own_version == 0;
-  auto const is_late = first ? behind >= kFirstFor : still >= kStillFor || behind >= patience;
+  auto const is_late = first ? behind_for >= kFirstStateTimeout
+                             : stalled_for >= kStallTimeout || behind_for >= lag_timeout;
   if (is_late) abandon_feed(watch, now);
 }
 
--- a/src/gateway/feed_watch.h
+++ b/src/gateway/feed_watch.h
@@ -1,5 +1,5 @@
 /// @file
-/// Watches whether the control process that brings a gateway the state keeps up with the leader.
+/// Monitors whether the control process that feeds a gateway its state keeps up with the leader.
 #pragma once
 
 #include <cstdint>
@@ -9,31 +9,32 @@
 
 namespace graniteseam::gateway {
 
-/// A feed is a member that follows; it may be cut off from the leader, stand still or be gone while
-/// this gateway is in touch with the leader, which has acknowledged drains and configurations that
-/// bind here too. So each answer of the leader names its version, and a feed that does not bring
-/// that in time is given up: the leader is asked for the state itself, and for another feed.
+/// State of the feed monitor. A feed is a follower; it may be cut off from the leader, stalled or
+/// gone while this gateway still reaches the leader, which has acknowledged drains and
+/// configurations that must take effect here too. Each answer of the leader therefore includes its
+/// version. A feed that does not deliver that version in time is abandoned: the gateway requests
+/// the state from the leader itself, and another feed.
 struct FeedWatch {
   bool answered = false;      ///< A leader has answered a poll.
-  std::string address;        ///< As the leader named it last; empty before.
-  std::uint32_t tried = 0;    ///< Feeds that were given up.
-  std::uint64_t awaited = 0;  ///< A version that the leader has and that is not here yet.
+  std::string address;        ///< The feed that the leader named last; empty before the first.
+  std::uint32_t tried = 0;    ///< Number of feeds abandoned so far.
+  std::uint64_t awaited = 0;  ///< A version that the leader has and this gateway still waits for.
   Instant awaited_since{};
-  std::uint64_t version = 0;  ///< Here at the last look.
-  Instant advanced_at{};      ///< When a look last found a newer one.
-  std::uint32_t late = 0;     ///< Feeds given up since the state here was the leader's.
-  bool asks_leader = false;   ///< For the state itself, until it is here.
+  std::uint64_t version = 0;  ///< The version here at the last check.
+  Instant advanced_at{};      ///< When a check last found a newer version.
+  std::uint32_t late = 0;     ///< Feeds abandoned since this gateway was last up to date.
+  bool asks_leader = false;   ///< Requests the state from the leader until it is up to date.
 };
 
-/// Takes the leader's answer to a poll.
-/// @param leader_version the newest that the leader has; `own_version` what is here.
+/// Records the leader's answer to a poll.
+/// @param leader_version the leader's newest version; `own_version` the version here.
 auto note_answer(FeedWatch& watch, std::string const& feed, std::uint64_t leader_version,
                  std::uint64_t own_version, Instant now) -> void;
 
-/// Gives the feed up if it is late. To be called before each poll.
+/// Abandons the feed if it is late. Call before each poll.
 auto check_feed(FeedWatch& watch, std::uint64_t own_version, Instant now) -> void;
 
-/// The connection to the feed ended.
+/// Abandons the feed; also called when the connection to it ends.
 auto abandon_feed(FeedWatch& watch, Instant now) -> void;
 
 }  // namespace graniteseam::gateway
--- a/src/gateway/gateway_events.h
+++ b/src/gateway/gateway_events.h
@@ -1,5 +1,5 @@
 /// @file
-/// What happens at a gateway, as its decision maker takes it, and what it wants done.
+/// Inputs (events) and outputs (effects) of the gateway's decision logic.
 #pragma once
 
 #include <cstdint>
@@ -18,134 +18,138 @@
 
 namespace graniteseam::gateway {
 
-/// One request of a caller, as long as the gateway has it.
+/// Identifies one caller's request while the gateway handles it.
 using RequestNumber = NumericId<struct RequestNumberTag>;
 
-/// What is known of a request when it was read whole.
+/// A request that was read completely.
 struct ArrivedRequest {
   RequestNumber number;
   std::string host;
-  std::string path;                  ///< Without the query.
-  std::optional<std::uint32_t> key;  ///< Of a keyed service.
-  Duration time_left{};              ///< For which the caller waits from now on.
-  traffic::RequestDigest digest;     ///< Of what it asks for.
-  traffic::KeyDigest api_key;        ///< Of the key that it shows; empty when it shows none.
+  std::string path;                  ///< Without the query string.
+  std::optional<std::uint32_t> key;  ///< Set for keyed services.
+  Duration time_left{};              ///< The caller's remaining time at arrival.
+  traffic::RequestDigest digest;     ///< Digest of the request's content.
+  traffic::KeyDigest api_key;  ///< Digest of the presented API key; empty when none is presented.
 };
 
-/// What a server reports of its own load.
+/// A server's report of its own load.
 struct ReportedLoad {
   double running = 0;
   double waiting = 0;
   double slots = 0;
-  /// How long work takes there at this moment, in percent of what is usual; not told by all.
+  /// Current work time in percent of the usual; not every server reports it.
   std::optional<double> work_percent = std::nullopt;
 };
 
-/// What a server states in an answer, beyond its load, of the requests that it takes.
+/// Back pressure that a server reports in an answer in addition to its load.
 struct BackPressure {
-  /// Requests a second that it takes from all gateways together.
+  /// Requests per second that it accepts from all gateways together.
   std::optional<double> limit_per_second = std::nullopt;
-  /// For which it wants no request from this gateway.
+  /// The period for which it accepts no request from this gateway.
   std::optional<Duration> rest = std::nullopt;
-  bool leaving = false;     ///< It will end as planned.
-  bool unreadable = false;  ///< It states one of these in a form that is none.
+  bool leaving = false;     ///< It announces its shutdown.
+  bool unreadable = false;  ///< One of these fields is malformed.
 };
 
-/// How one sending of a request ended.
+/// How one attempt at sending a request ended.
 enum class AttemptEnd {
-  kAnswered,     ///< The server's own answer, whole and in place.
-  kNotExecuted,  ///< The server says that it did not and will not run it.
+  kAnswered,     ///< The intended server's own complete answer.
+  kNotExecuted,  ///< The server reports that it did not and will not run it.
   kNotSent,      ///< No byte was handed to the kernel.
-  kLost,         ///< Sent; the connection ended without a whole answer.
-  kUnusable,     ///< An answer that is not to be trusted: another request's, or broken.
+  kLost,         ///< Sent; the connection ended without a complete answer.
+  kUnusable,     ///< An untrustworthy answer: it belongs to another request, or is malformed.
 };
 
+/// The name of an attempt's end, for logs and metrics.
 std::string_view EndName(AttemptEnd end);
 
+/// The end of one attempt.
 struct AttemptReport {
   RequestNumber request;
   std::uint32_t attempt = 0;
   AttemptEnd end = AttemptEnd::kLost;
   int status = 0;
   std::optional<ReportedLoad> load;
-  bool load_unreadable = false;  ///< The answer told of a load that is none.
-  bool not_owner = false;  ///< The server is not the one that was meant, or does not hold the key.
+  bool load_unreadable = false;  ///< The reported load is malformed.
+  bool not_owner = false;        ///< Not the intended server, or not the key's owner.
   BackPressure pressure{};
 };
 
-/// How asking a server for its load went.
+/// The result of probing a server for its load.
 struct ProbeReport {
   RequestNumber request;
-  std::uint32_t round = 0;  ///< Of the request's probes.
+  std::uint32_t round = 0;  ///< Probe round of the request.
   traffic::InstanceId instance;
   Duration taken{};
-  std::optional<ReportedLoad> load;        ///< When it answered.
-  std::optional<Duration> warm_up_left{};  ///< When it told.
-  bool other_instance = false;             ///< Another process has its address.
+  std::optional<ReportedLoad> load;        ///< Set when the server answered.
+  std::optional<Duration> warm_up_left{};  ///< Set when the server reported it.
+  bool other_instance = false;             ///< Another process has taken the address.
 };
 
-/// Why a request was answered by the gateway itself.
+/// Why the gateway itself answered a request.
 enum class RefusalReason {
-  kNoConfiguration,  ///< This gateway never had one.
+  kNoConfiguration,  ///< No configuration was ever received.
   kNoRoute,          ///< The configuration has no such route.
-  /// The one that stands here has no such route, and may be older than what was accepted.
+  /// The active configuration has no such route, but may be older than the newest accepted one.
   kUnconfirmed,
-  kBadKey,          ///< A keyed service needs a key from 0 to 65535.
-  kNoApiKey,        ///< The route asks for a tenant's API key, and the request shows none.
-  kUnknownApiKey,   ///< No tenant has the API key that it shows.
-  kNoServer,        ///< No server takes work.
-  kNoOwner,         ///< The key has no owner at present.
-  kOwnerFails,      ///< The owner of the key resets connections or is not reached.
-  kStaleOwner,      ///< The owner known here is not it any more; another gateway may know more.
-  kOverloaded,      ///< No server would take it in time.
-  kResting,         ///< The server asked this gateway for a rest.
-  kLimited,         ///< What the server's limit allows is used up.
-  kQuarantined,     ///< Servers ended under what it asks for, one after the other.
-  kHotKey,          ///< The key is asked for more often than its owner can answer.
-  kDeadline,        ///< The time is over.
-  kBudget,          ///< It did not run; the retry budget is used up.
-  kAttemptsUsed,    ///< It did not run; no further server may be tried.
+  kBadKey,         ///< A keyed service needs a key from 0 to 65535.
+  kNoApiKey,       ///< The route requires a tenant's API key; the request has none.
+  kUnknownApiKey,  ///< No tenant has the presented API key.
+  kNoServer,       ///< No server takes new work.
+  kNoOwner,        ///< The key has no owner at present.
+  kOwnerFails,     ///< The key's owner resets connections or is unreachable.
+  /// The owner stored here no longer owns the key; another gateway may be more recent.
+  kStaleOwner,
+  kOverloaded,      ///< No server could take it in time.
+  kResting,         ///< The server told this gateway to back off.
+  kLimited,         ///< The server's rate limit is used up.
+  kQuarantined,     ///< Several servers in a row crashed under this request.
+  kHotKey,          ///< The key gets more requests than its owner can answer.
+  kDeadline,        ///< The request's time is over.
+  kBudget,          ///< Not run; the retry budget is used up.
+  kAttemptsUsed,    ///< Not run; no attempts left.
   kOutcomeUnknown,  ///< It may have run.
-  kQuota,           ///< Its tenant's quota is used up.
-  kQuotaUnknown,    ///< No leader says whether its tenant's quota has room.
+  kQuota,           ///< The tenant's quota is used up.
+  kQuotaUnknown,    ///< No leader answered whether the tenant's quota has room.
 };
 
+/// The name of a refusal reason, for logs and metrics.
 std::string_view ReasonName(RefusalReason reason);
 
-/// Send the request to a server.
+/// Effect: send the request to a server.
 struct SendAttempt {
   RequestNumber request;
   std::uint32_t attempt = 0;
   traffic::InstanceId instance;
   std::string address;  ///< "ip:port".
   Duration time_left{};
-  /// The server had an attempt of this request before, which may run once only. A surplus answer to
-  /// that one carries the same id, and must not pass for the answer to this one.
+  /// The server already had an attempt of this request, which must run at most once. A late answer
+  /// to that attempt carries the same id, and must not be taken for the answer to this one.
   bool needs_new_connection = false;
-  /// Whose key the request showed; empty when it showed none.
+  /// The tenant whose API key the request presented; empty when it presented none.
   traffic::TenantName tenant;
-  /// The server gets no API key, and no word of the tenant but this one.
+  /// The server gets no API key, and no tenant header other than the gateway's own.
   bool hides_api_key = false;
 };
-/// Ask a server for its load. Costs it little, and says nothing of the request it is asked for.
+/// Effect: probe a server for its load. Cheap for the server, and includes nothing of the request.
 struct ProbeInstance {
   RequestNumber request;
   std::uint32_t round = 0;
   traffic::InstanceId instance;
   std::string address;  ///< "ip:port".
   std::string path;
-  Duration useful_for{};  ///< An answer that comes later is not waited for.
+  Duration useful_for{};  ///< Later answers are ignored.
 };
-/// Stop waiting for an attempt and close its connection.
+/// Effect: stop waiting for an attempt and close its connection.
 struct AbandonAttempt {
   RequestNumber request;
   std::uint32_t attempt = 0;
 };
-/// Pass on the answer of the attempt that was reported last.
+/// Effect: relay the answer of the most recently reported attempt to the caller.
 struct RelayAnswer {
   RequestNumber request;
 };
-/// Answer in the gateway's own name; nothing of the request is under way any more.
+/// Effect: answer from the gateway itself; nothing of the request is in flight any more.
 struct Refuse {
   RequestNumber request;
   int status = 503;
@@ -153,7 +157,7 @@
   std::optional<Duration> retry_after;
 };
 
-/// Ask the leader for tokens of tenants' quotas and of servers' limits.
+/// Effect: request tokens of tenants' quotas and of servers' limits from the leader.
 struct AskTokens {
   traffic::TokenRequest request;
 };
@@ -161,14 +165,15 @@
 using GatewayEffect =
     std::variant<SendAttempt, ProbeInstance, AbandonAttempt, RelayAnswer, Refuse, AskTokens>;
 
-/// A decision worth a line in the log.
+/// A decision to be logged.
 struct DecisionNote {
   RequestNumber request;
   std::string_view what;         ///< For example "send" or "retry".
-  traffic::InstanceId instance;  ///< Concerned; may be empty.
-  std::string inputs;            ///< What it was taken on, with ages or versions.
+  traffic::InstanceId instance;  ///< The instance concerned; may be empty.
+  std::string inputs;            ///< Inputs of the decision, with ages or versions.
 };
 
+/// What the caller of a GatewayNode must do, in order, and what to log.
 struct GatewayEffects {
   std::vector<GatewayEffect> actions;
   std::vector<DecisionNote> notes;
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -1,4 +1,4 @@
-// What happens at the gateway, and the admission of requests.
+// Event handlers of the gateway, and the admission of requests.
 #include "src/gateway/gateway_node.h"
 
 #include <algorithm>
@@ -12,14 +12,15 @@
 namespace graniteseam::gateway {
 namespace {
 
-/// A gateway that no leader confirmed for longer does not claim that a route is not there: it may
-/// have been added since, and 404 would send the caller away for good. Three polls and an answer;
-/// shorter than the time within which an accepted change is to be in force.
+/// A gateway without confirmation by a leader for longer than this does not answer 404 for an
+/// unknown route: the route may have been added since, and 404 would make the caller give up for
+/// good. Covers three polls and an answer; shorter than the time within which an accepted change
+/// must be in force.
 constexpr Duration kConfirmedFor{1'600'000};
-/// Speeds change slowly: one poll in so many tells them.
+/// Latency samples change slowly: one poll in this many includes all of them.
 constexpr std::uint64_t kPollsPerSpeeds = 4;
 
-/// Most updates are of instances and ranges, and many.
+/// Most updates only change instances and ranges, and there are many of those.
 bool ChangesTenants(const traffic::TrafficUpdate& update) {
   const traffic::TenancyUpdate& tenancy = update.tenancy;
   return update.base == 0 || !tenancy.tenants.empty() || !tenancy.removed_tenants.empty();
@@ -190,8 +191,8 @@
   if (!Ready()) return AwaitConfiguration(request, now);
   const traffic::Route* route = traffic_.routes().Find(arrived.host, arrived.path);
   if (route == nullptr) {
-    const bool sure = IsConfirmed(now);
-    return EndWithoutRun(request, sure ? RefusalReason::kNoRoute : RefusalReason::kUnconfirmed,
+    const bool confirmed = IsConfirmed(now);
+    return EndWithoutRun(request, confirmed ? RefusalReason::kNoRoute : RefusalReason::kUnconfirmed,
                          now);
   }
   request.priority = route->priority;
@@ -223,7 +224,7 @@
 }
 
 void GatewayNode::EndTokenWait(LiveRequest& request, Instant now) {
-  // The leader is silent; the share has filled meanwhile.
+  // The leader did not answer; the share may have refilled meanwhile.
   if (!quotas_.admit_by_share(request.tenant, now)) {
     return EndWithoutRun(request, RefusalReason::kQuotaUnknown, now);
   }
@@ -290,7 +291,7 @@
   if (tenant == nullptr) {
     if (tenants.is_anonymous(route.name)) return std::nullopt;
     if (key.empty()) return RefusalReason::kNoApiKey;
-    // It may have been added since.
+    // The key may have been added since the last confirmation.
     return IsConfirmed(now) ? RefusalReason::kUnknownApiKey : RefusalReason::kUnconfirmed;
   }
   request.tenant = tenant->name;
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -1,5 +1,5 @@
 /// @file
-/// The gateway's decision maker: which server gets a request, what is sent again, what is refused.
+/// The gateway's decision logic: which server gets a request, what is retried, what is refused.
 #pragma once
 
 #include <cstdint>
@@ -27,54 +27,66 @@
 
 namespace graniteseam::gateway {
 
+/// Settings of a GatewayNode.
 struct GatewayOptions {
   RouterId id;
   BackendOptions backends;
   RetryBudgetLimits budget;
   ProbeOptions probes;
-  /// Gateways that are taken to share the budget while control has not said how many.
+  /// Assumed number of gateways that share the retry budget until control reports it.
   std::uint32_t gateways_assumed = 64;
-  /// Taken off the caller's time, so that an answer still reaches it.
+  /// Subtracted from the caller's time, so that an answer still reaches it.
   Duration answer_margin{10'000};
-  std::size_t waiting_maximum = 256;  ///< Requests held here for one service.
+  std::size_t waiting_maximum = 256;  ///< Maximum of waiting requests for one service.
 };
 
-/// Invariants: a request of an unsafe route is sent again only when the server said that it did not
-/// run it, or when no byte of it was sent; a refusal with 503 is given only to a request that has
-/// not run and never will; the state of traffic never goes back to an older version.
+/// Decides about requests; performs no input or output itself.
 ///
-/// Deterministic under its seed: the daemon drives it with sockets, tests in virtual time. Not
-/// thread safe; `now` never goes back.
+/// Invariants: a request of an unsafe route is retried only if the server reported that it did not
+/// run it, or if no byte of it was sent. Status 503 is given only to a request that has not run and
+/// never will. The traffic state never returns to an older version.
+///
+/// Deterministic under its seed: the daemon drives it with sockets, tests drive it in virtual time.
+/// Not thread safe; `now` must not decrease.
 class GatewayNode {
  public:
   GatewayNode(GatewayOptions options, std::uint64_t seed);
 
+  /// Handles an update of the traffic state from the feed, or a leader's answer to a poll.
   GatewayEffects OnUpdate(const traffic::TrafficUpdate& update, Instant now);
+  /// Handles what control aggregated over all gateways: server hints, hot keys and rate limits.
   GatewayEffects OnHints(const traffic::TrafficHints& hints, Instant now);
+  /// Handles a leader's answer to a token request.
   GatewayEffects OnTokens(const traffic::TokenAnswer& answer, Instant now);
+  /// Handles a caller's request that was read completely.
   GatewayEffects OnRequest(const ArrivedRequest& request, Instant now);
+  /// Handles the end of an attempt; ignored for an attempt that is no longer in flight.
   GatewayEffects OnAttemptEnd(const AttemptReport& report, Instant now);
+  /// Handles the end of a probe.
   GatewayEffects OnProbeEnd(const ProbeReport& report, Instant now);
+  /// Drops a request whose caller closed its connection.
   GatewayEffects OnCallerGone(RequestNumber request, Instant now);
-  /// The connection to the control process that brings the state has ended.
+  /// Handles the end of the connection to the control process that feeds the state.
   void OnFeedLost(Instant now) { abandon_feed(feed_, now); }
+  /// Handles all timers that are due.
   GatewayEffects Tick(Instant now);
+  /// When to call Tick() next; Instant::max() when no timer is set.
   Instant NextTick() const;
 
-  /// What to ask control, with the loads counted since the last call.
+  /// The next poll to control, including the loads counted since the last call.
   traffic::TrafficPoll TakePoll(Instant now);
 
-  /// Whether some key got so much since the last poll, or a server stated something new, that
-  /// control should know at once.
+  /// Whether a poll should be sent at once: a key got many requests since the last poll, or the
+  /// back pressure of a server changed.
   bool PollIsUrgent() const {
     return key_loads_.is_urgent() || traffic_.backends().pressure().has_unreported_changes();
   }
 
-  /// Whether a configuration is in force here that no poll has told of. Its operator's
-  /// acknowledgement waits for that word.
+  /// Whether the active configuration has not been reported by a poll yet. The operator's
+  /// acknowledgement of that configuration waits for the report.
   bool HasUnreportedConfiguration() const { return reported_configuration_ != configuration(); }
 
-  /// The control process from which to take the state, "ip:port"; empty while none was named.
+  /// The control process that feeds the state, "ip:port"; empty before the leader named one.
   const std::string& feed() const { return feed_.address; }
 
   /// Whether a configuration was ever received.
@@ -83,53 +95,53 @@
   traffic::ConfigurationVersion configuration() const { return traffic_.configuration(); }
   std::uint64_t version() const { return traffic_.version(); }
   std::size_t requests() const { return requests_.size(); }
-  /// Instances that name a limit at present, as far as is known here.
+  /// The number of instances known here to have a rate limit.
   std::size_t limited_instances() const { return traffic_.backends().pressure().limited(); }
-  /// The newest instant as of which the configuration here is known to leave out no accepted
-  /// change: when the poll was sent that a leader answered with the same one. The clock's start
-  /// before there was one. What is pushed proves nothing: it may come from a member that is cut
-  /// off.
+  /// The newest instant as of which the configuration here is known to include all accepted
+  /// changes: the sending time of the newest poll that a leader answered with the same
+  /// configuration. The clock's start before the first. Pushed updates confirm nothing: they may
+  /// come from a member that is cut off from the leader.
   Instant confirmed_at() const { return confirmed_at_; }
 
  private:
   enum class Step { kSent, kWaits };
 
   // gateway_node.cc
-  /// Notes what a leader's answer to the newest poll proves.
+  /// Updates confirmed_at() by a leader's answer to the newest poll.
   void NoteConfirmation(const traffic::TrafficUpdate& update, Instant now);
   void Admit(LiveRequest& request, Instant now);
-  /// Takes what the request's route says of it.
+  /// Copies the route's settings to the request.
   void ApplyRoute(LiveRequest& request, const traffic::Route& route, const ServiceName& service);
-  /// Takes whose key the request shows.
-  /// @return why it is refused; nullopt when it may go on.
+  /// Finds the tenant of the presented API key.
+  /// @return the reason to refuse the request; nullopt when it may continue.
   std::optional<RefusalReason> ResolveTenant(LiveRequest& request, const traffic::Route& route,
                                              Instant now);
-  /// Lets a request in by its tenant's quota, or has it wait for a token, or refuses it.
-  /// @return whether it goes on.
+  /// Admits a request under its tenant's quota, queues it for a token, or refuses it.
+  /// @return whether it was admitted.
   bool ChargeQuota(LiveRequest& request, Instant now);
-  /// Lets in a request that waited for its quota.
+  /// Admits a request that waited for its tenant's quota.
   void AdmitWithToken(LiveRequest& request, Instant now);
-  /// No token came in time.
+  /// Ends the wait of a request for which no token arrived in time.
   void EndTokenWait(LiveRequest& request, Instant now);
   void RefuseByQuota(LiveRequest& request, Instant now);
-  /// Asks the leader for what waits, unless a question is open.
+  /// Requests tokens from the leader for all waiting requests, unless a token request is open.
   void AskForTokens(Instant now);
-  /// Offers a request that was let in to its service.
+  /// Queues an admitted request for its service and tries to send it.
   void Offer(LiveRequest& request, Instant now);
-  /// Whether what control accepted lately is known to be in force here.
+  /// Whether a leader recently confirmed that the configuration here is current.
   bool IsConfirmed(Instant now) const;
-  /// Whether the owner of its key has a place for the request, as far as is known.
+  /// Whether the request's key is not hot, or the hot key gate admits the request.
   bool PassesHotKeyGate(LiveRequest& request, Instant now);
-  /// Refuses those that wait for a hot key and have no place.
+  /// Refuses waiting requests for a hot key that the hot key gate does not admit.
   void RefuseExcess(const traffic::HotKey& hot, Instant now);
-  /// Refuses those that wait and that control found to end their servers.
+  /// Refuses waiting requests that control has quarantined.
   void RefuseQuarantined(Instant now);
   void AwaitConfiguration(LiveRequest& request, Instant now);
   void AdmitUnrouted(Instant now);
   SharedRetryBudget& BudgetOf(const ServiceName& service);
   void Note(RequestNumber request, std::string_view what, const traffic::InstanceId& instance,
             std::string inputs);
-  /// Sends what the tokens of an owner's limit let in, and refuses the rest.
+  /// Sends the requests covered by new tokens of an owner's limit, and refuses the rest.
   void ApplyLimitTokens(const traffic::LimitTokenGrant& grant, Instant now);
   void NoteChanges(const BackPressureTable::Changes& changes);
   void NoteBackPressure(const traffic::InstanceId& instance, const AttemptReport& report,
@@ -139,40 +151,43 @@
   // request_sending.cc
   void ServeWaiting(const ServiceName& service, Instant now);
   void ServeAllWaiting(Instant now);
-  /// Lets all behind `place` wait for what it waits for. They still need their timers.
+  /// Makes all requests behind `place` wait for the same reason. Each still needs its own timer.
   void HoldBehind(const WaitingPlace& place, const std::vector<WaitingPlace>& places, Instant now);
   Step TryNext(LiveRequest& request, Instant now);
   Step TryOwner(LiveRequest& request, Instant now);
   Step TryPool(LiveRequest& request, Instant now);
-  /// Asks a few servers for their load before the request is sent to one of them.
-  /// @return whether there is anything to wait for.
+  /// Probes a few servers for their load before the request is sent to one of them.
+  /// @return whether any probe was sent.
   bool BeginProbes(LiveRequest& request, Instant now);
-  /// Sends the request to the best of the servers that were asked.
-  /// @return whether one of them answered and has room.
+  /// Sends the request to the best of the probed servers.
+  /// @return whether it was sent; false when none of them answered and has room, or the chosen one
+  /// accepts none from this gateway now.
   bool SendToProbed(LiveRequest& request, Instant now);
-  /// Sends a request to the server that was chosen, or has it wait while the server takes none from
-  /// this gateway: every request to a server goes through here.
+  /// Sends a request to the chosen server, or makes it wait while the server accepts none from this
+  /// gateway. All requests to servers are sent through this function.
   Step Send(LiveRequest& request, const Backend& backend, Instant now);
   void BeginAttempt(LiveRequest& request, const Backend& backend, Instant now);
-  /// Waits for the end of the rest that the only server of a request asked for, when that is soon.
+  /// Waits for the end of the back-off of the only server that can run the request, if it ends
+  /// within the request's hold time.
   Step WaitForBackOff(LiveRequest& request, const Backend& owner, Instant now);
-  /// Whether the owner of the request's key rests for longer than the request may be held.
+  /// Whether the back-off of the key's owner lasts longer than the request may be held.
   bool BacksOffPastHold(const LiveRequest& request, const traffic::InstanceId& owner) const;
-  /// Waits for a token of the leader's by which the owner's limit lets the request in.
+  /// Waits for a token from the leader under the owner's rate limit.
+  /// @return kSent when the request may be sent on one of this gateway's own tokens.
   Step WaitForToken(LiveRequest& request, const Backend& owner, Instant now);
-  /// Leaves the request in its queue until `limit` after `hold_from`. With its time to wait over it
-  /// gets no timer, and the caller ends it.
+  /// Keeps the request queued until `limit` after `hold_from`. A request whose wait is over gets no
+  /// timer; the caller then ends it.
   Step Wait(LiveRequest& request, RefusalReason reason, Duration limit, Instant now);
-  /// Waits for the only server that can run a request, for a part of its caller's time.
+  /// Waits for the only server that can run the request, for a part of its caller's time.
   Step WaitForOwner(LiveRequest& request, RefusalReason reason, Instant now);
 
   // request_ending.cc
   void HandleAttemptEnd(LiveRequest& request, const AttemptReport& report, Instant now);
-  /// Remembers what the end of an attempt tells of whether its request ends servers.
+  /// Records whether the attempt was lost or answered, for crash tracking.
   void RecordForCrashTracking(const LiveRequest& request, const AttemptReport& report,
                               const OpenAttempt& ended, Instant now);
   void RetryOrEnd(LiveRequest& request, const AttemptReport& report, Instant now);
-  /// Puts a request back into its queue, to be sent again.
+  /// Queues a request again for another attempt.
   void Requeue(LiveRequest& request, Instant now);
   void Relay(LiveRequest& request);
   void GiveUp(LiveRequest& request, Instant now);
@@ -193,8 +208,9 @@
   TokenQueue token_queue_;
   LimitQueue limit_queue_;
   std::uint64_t poll_sequence_ = 0;
-  traffic::ConfigurationVersion reported_configuration_;  ///< In force at the newest poll.
-  Instant polled_at_{};                                   ///< When the newest poll was made.
+  /// The active configuration at the newest poll.
+  traffic::ConfigurationVersion reported_configuration_;
+  Instant polled_at_{};  ///< When the newest poll was created.
   Instant confirmed_at_{};
   GatewayEffects effects_;
 };
--- a/src/gateway/hold_limits.cc
+++ b/src/gateway/hold_limits.cc
@@ -6,22 +6,22 @@
 namespace graniteseam::gateway {
 namespace {
 
-/// A request may be held for this part of its target latency before it is offered to a server.
+/// A request may wait for its target latency divided by this before it must be sent.
 constexpr int kHoldPartOfTarget = 5;
 /// A request for a key, or one read before the first configuration, may be held for this part of
-/// the time that its caller gave. Less than half, so that one which is refused in the end has time
-/// for another try.
+/// its caller's time. Less than half, so that a request refused in the end has time for another
+/// try.
 constexpr double kHoldPartOfTime = 0.4;
 constexpr Duration kHoldWithoutTarget{100'000};
-/// A token comes within some milliseconds, and within a tenth of a second or two from a leader
-/// whose share of a core was used up. Its request is still in time then; a refusal would send its
-/// caller to another gateway, which asks the same leader.
+/// A token arrives within a few milliseconds, or within 0.1 s to 0.2 s from a leader that was
+/// throttled because its CPU share was used up. Its request is still in time then; a refusal would
+/// send the caller to another gateway, which asks the same leader.
 constexpr int kTokenWaitPartOfTarget = 4;
 constexpr Duration kTokenWaitMinimum{50'000};
 constexpr Duration kTokenWaitMaximum{250'000};
-/// Between two looks at an owner that has no room. The load that other gateways put there fades
-/// without any event here.
-constexpr Duration kOwnerLook{25'000};
+/// Interval between two checks of an owner that has no room. The estimated load from other gateways
+/// decays without any event here.
+constexpr Duration kOwnerCheckInterval{25'000};
 
 auto token_wait(LiveRequest const& request) -> Duration {
   return std::clamp(request.target_latency / kTokenWaitPartOfTarget, kTokenWaitMinimum,
@@ -67,7 +67,7 @@
 }
 
 auto next_owner_check(Instant now) -> Instant {
-  return Instant{(now.time_since_epoch() / kOwnerLook + 1) * kOwnerLook};
+  return Instant{(now.time_since_epoch() / kOwnerCheckInterval + 1) * kOwnerCheckInterval};
 }
 
 }  // namespace graniteseam::gateway
--- a/src/gateway/hold_limits.h
+++ b/src/gateway/hold_limits.h
@@ -1,5 +1,5 @@
 /// @file
-/// How long a gateway holds requests that it can't send yet.
+/// Computes how long a gateway holds requests that it cannot send yet.
 #pragma once
 
 #include "graniteseam/common/time.h"
@@ -7,36 +7,36 @@
 
 namespace graniteseam::gateway {
 
-/// Whether a request may still be answered within its target.
+/// Whether a request may still be answered within its target latency.
 auto is_in_time(LiveRequest const& request, Instant now) -> bool;
 
-/// For a request that any server of its service may run, or whose caller had better ask another
-/// gateway soon: what is refused early may still be served in time when its caller comes back.
+/// Hold time of a request that any server of its service may run, or whose caller should soon try
+/// another gateway: a request refused early may still be served in time when its caller retries.
 auto short_hold(LiveRequest const& request) -> Duration;
 
-/// For a request that only the owner of its key can run: nobody else can do better, and a caller
-/// that comes back finds the same. Counted from `hold_from`, never less than short_hold().
+/// Hold time of a request that only the owner of its key can run: no other server can run it, and a
+/// retry by the caller would find the same state. Counted from `hold_from`, at least short_hold().
 auto owner_hold(LiveRequest const& request) -> Duration;
 
-/// Until when a request may wait for the gateway's first configuration. A gateway that has just
-/// started will know its routes in a moment, and its neighbours may have started with it: a caller
-/// that is refused finds no better one.
+/// The instant until which a request may wait for the gateway's first configuration. A gateway that
+/// has just started receives its routes shortly, and other gateways may have started at the same
+/// time, so a refused caller would find no better one.
 auto configuration_wait_end(LiveRequest const& request) -> Instant;
 
-/// Until when a request may wait for the leader's word on its tenant's quota, which takes a message
-/// there and back.
+/// The instant until which a request may wait for the leader's answer on its tenant's quota, which
+/// takes one round trip.
 auto token_wait_end(LiveRequest const& request) -> Instant;
 
-/// Until when a request may wait for a token of its owner's limit.
+/// The instant until which a request may wait for a token under its owner's rate limit.
 auto limit_wait_end(LiveRequest const& request) -> Instant;
 
-/// When to act on a request that is held for `limit` since `hold_from`, at its deadline at the
-/// latest.
-/// @return Instant{} when its time to wait is over.
+/// When to act on a request that may be held for `limit` after `hold_from`, at the latest at its
+/// deadline.
+/// @return Instant{} when its hold time is over.
 auto hold_timer(LiveRequest const& request, Duration limit, Instant now) -> Instant;
 
-/// When to look again at owners that have no room. All requests that wait for one look at the same
-/// instants, so that one look serves them.
+/// When to check owners without room again. All waiting requests share the same instants, so that
+/// one check serves them all.
 auto next_owner_check(Instant now) -> Instant;
 
 }  // namespace graniteseam::gateway
--- a/src/gateway/hot_key_gate.cc
+++ b/src/gateway/hot_key_gate.cc
@@ -3,7 +3,7 @@
 namespace graniteseam::gateway {
 
 auto HotKeyGate::take(std::vector<traffic::HotKey> const& hot_keys, Instant now) -> void {
-  std::uniform_real_distribution<double> drawn(0, 1);
+  std::uniform_real_distribution<double> initial_credit(0, 1);
   for (auto const& hot : hot_keys) {
     auto& gates = m_gates[hot.service];
     if (hot.admitted >= 1) {
@@ -11,10 +11,10 @@
       continue;
     }
     auto const [gate, fresh] = gates.try_emplace(hot.key);
-    // Gateways that all began alike would let their first requests in together.
-    if (fresh) gate->second.credit = drawn(m_random);
+    // Equal initial credits would make all gateways admit their first requests together.
+    if (fresh) gate->second.credit = initial_credit(m_random);
     gate->second.admitted = hot.admitted;
-    gate->second.told = now;
+    gate->second.reported_at = now;
   }
 }
 
@@ -23,7 +23,7 @@
   if (gates == m_gates.end()) return false;
   auto const found = gates->second.find(key);
   if (found == gates->second.end()) return false;
-  auto const lapsed = now - found->second.told > kForgotten;
+  auto const lapsed = now - found->second.reported_at > kReportLifetime;
   if (lapsed) gates->second.erase(found);
   return !lapsed;
 }
--- a/src/gateway/hot_key_gate.h
+++ b/src/gateway/hot_key_gate.h
@@ -1,5 +1,5 @@
 /// @file
-/// Lets in as many requests for a hot key as its owner can run, counted over all gateways.
+/// Admits as many requests for a hot key as its owner can run, counted over all gateways.
 #pragma once
 
 #include <cstdint>
@@ -12,30 +12,32 @@
 
 namespace graniteseam::gateway {
 
-/// What surely has no place at the owner is refused at once, in place of a wait that ends in a
-/// refusal. Each gateway lets in the same part of what it gets, so that together they ask no more
-/// than the owner can run, without knowing of each other.
+/// Refuses excess requests for a hot key at once, instead of queueing them until they are refused.
+/// Each gateway admits the same part of the requests that it receives, so that together they send
+/// no more than the owner can run, without coordination.
 ///
-/// Deterministic under its seed; not thread safe; `now` never goes back.
+/// Deterministic under its seed; not thread safe; `now` must not decrease.
 class HotKeyGate {
  public:
   explicit HotKeyGate(std::uint64_t seed) : m_random(seed) {}
 
+  /// Applies control's report of hot keys and the part of their requests to admit.
   auto take(std::vector<traffic::HotKey> const& hot_keys, Instant now) -> void;
 
   auto is_hot(ServiceName const& service, std::uint32_t key, Instant now) -> bool;
 
-  /// Whether the next request for a hot key may go on.
+  /// Whether to admit the next request for a hot key; is_hot() must have returned true for it.
   auto admits(ServiceName const& service, std::uint32_t key) -> bool;
 
  private:
-  /// A key that nobody speaks of any more is not hot: control tells it again each second.
-  static constexpr Duration kForgotten{2'500'000};
+  /// A key that control has not reported for this long is not hot: control repeats its report each
+  /// second.
+  static constexpr Duration kReportLifetime{2'500'000};
 
   struct Gate {
     double admitted = 1;
-    double credit = 0;  ///< A request is let in when this reaches 1.
-    Instant told{};
+    double credit = 0;  ///< A request is admitted when this reaches 1.
+    Instant reported_at{};
   };
 
   std::mt19937_64 m_random;
--- a/src/gateway/key_loads.h
+++ b/src/gateway/key_loads.h
@@ -1,5 +1,5 @@
 /// @file
-/// How many requests each key got since control was last told.
+/// Counts the requests for each key since the last poll.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace graniteseam::gateway {
 
-/// Not thread safe.
+/// Request counts by service and key. Not thread safe.
 class KeyLoads {
  public:
   auto count(ServiceName const& service, std::uint32_t key) -> void {
@@ -20,10 +20,10 @@
     m_is_urgent = m_is_urgent || requests >= kUrgentRequests;
   }
 
-  /// Whether some key got so much that control should know at once.
+  /// Whether some key got so many requests that control should be polled at once.
   auto is_urgent() const -> bool { return m_is_urgent; }
 
-  /// All that was counted since the last call.
+  /// Returns the counts since the last call and clears them.
   auto take() -> std::vector<traffic::ServiceLoads> {
     std::vector<traffic::ServiceLoads> all;
     for (auto const& [service, keys] : m_requests) {
@@ -37,7 +37,7 @@
   }
 
  private:
-  /// Requests for one key between two polls that control should know of at once.
+  /// Requests for one key between two polls from which on a poll is urgent.
   static constexpr std::uint32_t kUrgentRequests = 3;
 
   std::map<ServiceName, std::map<std::uint32_t, std::uint32_t>> m_requests;  ///< By key.
--- a/src/gateway/key_map.cc
+++ b/src/gateway/key_map.cc
@@ -9,7 +9,7 @@
   for (const traffic::KeyRange& range : update.ranges) Override(services_[range.service], range);
 }
 
-/// Cuts the new span out of what was there, then puts it in.
+/// Removes the new span from existing ranges, then inserts the new range.
 void KeyMap::Override(Ranges& ranges, const traffic::KeyRange& range) {
   const traffic::KeySpan span = range.span;
   auto at = ranges.upper_bound(span.first);
--- a/src/gateway/key_map.h
+++ b/src/gateway/key_map.h
@@ -1,5 +1,5 @@
 /// @file
-/// Who owns which keys, as the gateway was told.
+/// The owners of key ranges, as received from control.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,19 @@
 
 namespace graniteseam::gateway {
 
-/// Updates bring ranges that override what was known of their keys. Not thread safe.
+/// Maps keys to the ranges that own them. A range in an update overrides all earlier ones of its
+/// keys. Not thread safe.
 class KeyMap {
  public:
-  /// Takes an update's ranges; one with base 0 replaces all.
+  /// Applies an update's ranges; one with base 0 replaces all.
   void Apply(const traffic::TrafficUpdate& update);
 
-  /// @return null when nothing is known of the key; valid until the next Apply().
+  /// @return null when the key is in no known range; valid until the next Apply().
   const traffic::KeyRange* Find(const ServiceName& service, std::uint32_t key) const;
 
-  /// The owner that is known here said that it does not own the range: this map is behind. It is
-  /// not asked again before `until`, unless an update changes the range.
+  /// Records that the range's owner replied that it does not own the range, so this map is out of
+  /// date. The owner gets no request for the range before `until`, unless an update changes the
+  /// range.
   void MarkOwnerStale(const traffic::KeyRange& range, Instant until);
   bool IsOwnerStale(const traffic::KeyRange& range, Instant now) const;
 
--- a/src/gateway/limit_queue.cc
+++ b/src/gateway/limit_queue.cc
@@ -4,7 +4,7 @@
 
 auto LimitQueue::add(traffic::InstanceId const& instance, RequestNumber request) -> void {
   auto& waiting = m_waiting[request];
-  // The key may have gone to another owner meanwhile.
+  // The key may have moved to another owner meanwhile.
   if (waiting.instance != instance) waiting = {instance, false};
 }
 
--- a/src/gateway/limit_queue.h
+++ b/src/gateway/limit_queue.h
@@ -1,5 +1,5 @@
 /// @file
-/// Requests that wait for tokens of owners that name a limit.
+/// Requests that wait for tokens of owners with a rate limit.
 #pragma once
 
 #include <map>
@@ -10,21 +10,23 @@
 
 namespace graniteseam::gateway {
 
-/// Not thread safe.
+/// Waiting requests with the instance that each waits for. Not thread safe.
 class LimitQueue {
  public:
+  /// The number of tokens wanted of one instance.
   struct Wanted {
     traffic::InstanceId instance;
     std::uint32_t requests = 0;
   };
 
-  /// Has a request wait, once however often it is added.
+  /// Adds a request; adding it again has no effect.
   auto add(traffic::InstanceId const& instance, RequestNumber request) -> void;
   auto remove(RequestNumber request) -> void;
 
-  /// What to ask for now, for all that wait.
+  /// Returns the number of tokens to request for each instance, and marks all waiting requests as
+  /// asked for.
   auto ask() -> std::vector<Wanted>;
-  /// Those that were asked for and still wait.
+  /// Waiting requests whose tokens were requested.
   auto requested_for(traffic::InstanceId const& instance) const -> std::vector<RequestNumber>;
 
  private:
--- a/src/gateway/live_request.h
+++ b/src/gateway/live_request.h
@@ -1,5 +1,5 @@
 /// @file
-/// One request as long as a gateway has it.
+/// The state of one request while a gateway handles it.
 #pragma once
 
 #include <compare>
@@ -11,7 +11,7 @@
 
 namespace graniteseam::gateway {
 
-/// Order in which requests leave a queue: the most urgent first, then the oldest.
+/// Order of requests in a queue: highest urgency first, then oldest.
 struct WaitingPlace {
   std::int64_t priority = 0;
   RequestNumber number;
@@ -19,51 +19,53 @@
   auto operator<=>(const WaitingPlace&) const = default;
 };
 
-/// The attempt under way.
+/// The attempt in flight.
 struct OpenAttempt {
   std::uint32_t number = 0;
   traffic::InstanceId instance;
   Instant sent_at{};
 };
 
-/// The servers that are asked for their load before a request's next attempt.
+/// The servers that are probed for their load before a request's next attempt.
 struct ProbeRound {
-  std::uint32_t number = 0;                ///< Answers to earlier rounds are late.
-  std::vector<traffic::InstanceId> asked;  ///< Empty while there is no round.
-  std::uint32_t open = 0;                  ///< Answers that are waited for.
-  std::uint32_t loads_received = 0;        ///< Of the servers asked, those that told their load.
-  Instant back_off_until{};                ///< No further round before.
+  std::uint32_t number = 0;                ///< Answers to earlier rounds are ignored.
+  std::vector<traffic::InstanceId> asked;  ///< Empty while no round is in progress.
+  std::uint32_t open = 0;                  ///< Answers still awaited.
+  std::uint32_t loads_received = 0;        ///< Probed servers that reported their load.
+  Instant back_off_until{};                ///< No further round before this instant.
 };
 
+/// A request with its route's settings, its attempts so far and what it waits for.
 struct LiveRequest {
   ArrivedRequest arrived;
   traffic::RouteKind kind = traffic::RouteKind::kUnsafe;
   ServiceName service;
-  traffic::TenantName tenant;  ///< Empty when it showed no key.
+  traffic::TenantName tenant;  ///< Empty when the request presented no API key.
   std::int64_t priority = 0;
   Duration target_latency{};
   std::uint32_t attempts_maximum = 1;
 
   Instant received{};
-  Instant hold_from{};  ///< Since when it waits for its next server.
+  Instant hold_from{};  ///< Start of the wait for its next server.
   Instant give_up{};    ///< The caller's deadline or the route's timeout.
   Instant timer{};      ///< As entered in LiveRequests; Instant{} for none.
 
   std::optional<OpenAttempt> open;
-  std::uint32_t attempts = 0;   ///< Sent so far, one that got no byte out not counted.
-  std::uint32_t numbering = 0;  ///< Of the newest attempt.
-  std::uint32_t unsent = 0;     ///< Attempts that got no byte out.
+  std::uint32_t attempts = 0;   ///< Attempts so far, without those that sent no byte.
+  std::uint32_t numbering = 0;  ///< Number of the newest attempt.
+  std::uint32_t unsent = 0;     ///< Attempts that sent no byte.
   std::vector<traffic::InstanceId> tried;
   bool may_have_run = false;
   ProbeRound probes;
 
   bool waiting = false;                   ///< In its service's queue.
-  bool admitted_by_hot_key_gate = false;  ///< While its key was known to be hot.
-  bool charged_to_quota = false;          ///< Let in by its tenant's quota.
-  Instant
-      token_wait_since{};  ///< For a token of its owner's limit; Instant{} while it asks for none.
-  Instant server_back_off_until{};  ///< The server that alone can run it; Instant{} for none.
-  Instant not_before{};             ///< While waiting: not tried again earlier.
+  bool admitted_by_hot_key_gate = false;  ///< Set while its key was known to be hot.
+  bool charged_to_quota = false;          ///< Admitted under its tenant's quota.
+  /// Start of the wait for a token of its owner's rate limit; Instant{} while it waits for none.
+  Instant token_wait_since{};
+  /// Back-off of the only server that can run it; Instant{} for none.
+  Instant server_back_off_until{};
+  Instant not_before{};  ///< While waiting: the earliest instant of the next try.
   RefusalReason waits_for = RefusalReason::kOverloaded;
 };
 
--- a/src/gateway/live_requests.h
+++ b/src/gateway/live_requests.h
@@ -1,5 +1,5 @@
 /// @file
-/// The requests that a gateway has, where they wait, and their timers.
+/// The requests of a gateway, with their queues and timers.
 #pragma once
 
 #include <map>
@@ -11,35 +11,38 @@
 
 namespace graniteseam::gateway {
 
-/// Invariants: whatever waits or has a timer here is a live request; a request has one timer at
-/// most, the one that it names; it waits in its service's queue exactly while its `waiting` is set.
-/// Not thread safe. References hold until their request is erased.
+/// Container of live requests.
+///
+/// Invariants: each queued or timed entry refers to a live request; a request has at most one
+/// timer, the one in its `timer`; it is in its service's queue exactly while its `waiting` is set.
+/// Not thread safe. References stay valid until their request is erased.
 class LiveRequests {
  public:
-  /// Begins a request that was read at `now`.
+  /// Adds a request that was read at `now`.
   auto add(ArrivedRequest const& arrived, Instant now) -> LiveRequest&;
-  /// @return null when there is none of that number.
+  /// @return null when there is no request of that number.
   auto find(RequestNumber number) -> LiveRequest*;
   auto at(RequestNumber number) -> LiveRequest& { return m_requests.at(number); }
-  /// Ends a request, with its timer and its place wherever it waits.
+  /// Removes a request with its timer and queue entry.
   auto erase(LiveRequest& request) -> void;
   auto size() const -> std::size_t { return m_requests.size(); }
 
+  /// Replaces the request's timer.
   /// @param at Instant{} for none.
   auto set_timer(LiveRequest& request, Instant at) -> void;
-  /// A request whose timer is due, without that timer; null when there is none.
+  /// Clears the timer of a due request and returns the request; null when none is due.
   auto take_due(Instant now) -> LiveRequest*;
   auto next_timer() const -> Instant;
 
   auto enqueue(LiveRequest& request) -> void;
   auto dequeue(LiveRequest& request) -> void;
-  /// The places in a service's queue, in their order.
+  /// The entries of a service's queue, in order.
   auto queue_of(ServiceName const& service) const -> std::vector<WaitingPlace>;
   auto queue_size(ServiceName const& service) const -> std::size_t;
-  /// Services that had a queue at any time.
+  /// Services that ever had a queue.
   auto queued_services() const -> std::vector<ServiceName>;
 
-  /// Requests that were read before the first configuration came.
+  /// Adds a request that was read before the first configuration.
   auto add_unrouted(LiveRequest const& request) -> void;
   auto is_unrouted(LiveRequest const& request) const -> bool;
   auto unrouted_size() const -> std::size_t { return m_unrouted.size(); }
--- a/src/gateway/probe_policy.h
+++ b/src/gateway/probe_policy.h
@@ -1,5 +1,5 @@
 /// @file
-/// Decides whether servers of a pool are asked for their load before a request is sent.
+/// Decides whether servers of a pool are probed for their load before a request is sent.
 #pragma once
 
 #include <cstdint>
@@ -13,55 +13,55 @@
 namespace graniteseam::gateway {
 
 struct ProbeOptions {
-  std::uint32_t per_request = 3;  ///< Servers that are asked for one request; 0: none ever.
-  /// For which a request waits for their answers: many times as long as one takes between zones,
-  /// and short beside any latency that callers notice.
+  std::uint32_t per_request = 3;  ///< Servers probed for one request; 0 disables probes.
+  /// How long a request waits for the answers: many times the round trip between zones, and short
+  /// compared with any latency that callers notice.
   Duration wait{50'000};
-  /// Between two rounds for one request: where servers are full, asking more often makes no room.
+  /// Between two rounds for one request: where servers are full, more probes make no room.
   Duration rest{50'000};
 };
 
-/// Hundreds of gateways that share hundreds of servers meet each of them every few seconds, while
-/// servers' loads and the pace of their work change several times a second: what a gateway
-/// remembers is about another moment. A few servers drawn at random, asked just before the
-/// choice, tell how they are now; the better of two fresh words takes most of what could be won by
-/// knowing all (power of two choices).
+/// Enables power-of-two-choices load balancing with fresh data. Hundreds of gateways that share
+/// hundreds of servers send to each of them only every few seconds, while the servers' loads and
+/// work times change several times a second, so a gateway's stored data is out of date. A few
+/// servers drawn at random and probed just before the choice report their current state; the better
+/// of two fresh reports gives most of the benefit of knowing all of them.
 ///
-/// Answers the load at which servers' noise, not the requests, fills their queues. Costs a small
-/// exchange with each server asked, so it is done only where servers show that they answer such
-/// questions at once: by telling in their answers how long work takes at the moment. Where answers
-/// to probes turn out slow, as from a server that lets them wait for a slot, it rests. Not thread
-/// safe; `now` never goes back.
+/// Meant for loads at which variation among the servers, rather than the requests, fills their
+/// queues. A probe costs a small exchange with each server, so it is used only where servers are
+/// known to answer probes at once: those that report their current work time in answers. Where
+/// answers to probes turn out slow, as from a server that queues them for a slot, probing is
+/// suspended. Not thread safe; `now` must not decrease.
 class ProbePolicy {
  public:
   explicit ProbePolicy(ProbeOptions options) : m_options(options) {}
 
   auto options() const -> ProbeOptions const& { return m_options; }
 
-  /// Whether a request for a service is to be preceded by probes.
+  /// Whether to probe servers before sending a request for a service.
   auto applies(ServiceName const& service, Instant now) const -> bool;
 
-  /// Takes what an answer to a request told.
+  /// Records the load report of an answer to a request.
   auto note_answer(ServiceName const& service, ReportedLoad const& load, Instant now) -> void;
 
-  /// Takes how long a probe took, whatever came of it.
+  /// Records how long a probe took, whatever its result.
   auto note_probe(ServiceName const& service, Duration taken, Instant now) -> void;
 
  private:
-  /// Servers that tell no more of their work for so long are asked no more.
+  /// Servers of a service are no longer probed when none has reported its work time for this long.
   static constexpr Duration kWorkReportMaxAge{30'000'000};
-  /// Mean time of probes beyond which they are not answered at once. The longest way between two
-  /// zones of a region takes a tenth of it, new connections included.
+  /// Mean time of probes above which they count as not answered at once. The longest round trip
+  /// between two zones of a region takes a tenth of it, including a new connection.
   static constexpr Duration kSlowProbe{100'000};
-  /// Of one probe no more counts: a few servers that are silent do not make all of them slow.
+  /// Upper bound of one sample: a few unresponsive servers do not make all of them count as slow.
   static constexpr Duration kSampleMaximum{2 * kSlowProbe};
-  /// For how long probes rest then.
+  /// How long probing is then suspended.
   static constexpr Duration kSuspension{10'000'000};
-  /// Weight of the newest probe in the mean.
+  /// Weight of the newest sample in the mean.
   static constexpr double kSampleWeight = 0.05;
 
   struct ServiceState {
-    std::optional<Instant> work_reported_at;  ///< When a server last told how long work takes.
+    std::optional<Instant> work_reported_at;  ///< When a server last reported its work time.
     double mean_us = 0;
     Instant suspended_until{};
   };
--- a/src/gateway/quota_gate.cc
+++ b/src/gateway/quota_gate.cc
@@ -9,13 +9,13 @@
 namespace graniteseam::gateway {
 namespace {
 
-/// An answer to an older poll renews nothing: it may be an earlier leader's, on its way for long.
-constexpr Duration kAnswerTakenWithin{1'000'000};
+/// Answers to older polls renew nothing: one may come from an earlier leader, delayed on its way.
+constexpr Duration kAnswerMaxAge{1'000'000};
 constexpr std::size_t kPollsKept = 16;
-/// A question without an answer is asked anew after this.
-constexpr Duration kQuestionLimit{300'000};
-/// Between two questions about a tenant whose tokens were used up.
-constexpr Duration kRefusedLongest{250'000};
+/// A token request without an answer is repeated after this.
+constexpr Duration kTokenRequestTimeout{300'000};
+/// Upper bound of the interval between two token requests for a tenant whose tokens were used up.
+constexpr Duration kRefusalMaximum{250'000};
 constexpr Duration kRetryAfterMinimum{50'000};
 
 }  // namespace
@@ -36,7 +36,7 @@
     auto& limited = m_limited[name];
     limited.quota = tenant.quota;
     if (!limited.share) continue;
-    // A lower limit binds before the leader's next set.
+    // A lower quota takes effect before the leader's next set of shares.
     limited.share->rate = std::min(limited.share->rate, tenant.quota.rate_per_second);
   }
 }
@@ -75,7 +75,8 @@
 }
 
 auto QuotaGate::add_to_poll(traffic::TrafficPoll& poll, Instant now) -> void {
-  // Others may use them by now: a new leader must not hear of them and take them over.
+  // Other gateways may use these shares by now: a new leader must not receive them and take
+  // them over.
   if (now >= m_lease_end) forget_shares();
   m_polls.push_back({poll.sequence, now});
   if (m_polls.size() > kPollsKept) m_polls.pop_front();
@@ -98,7 +99,7 @@
 auto QuotaGate::take(traffic::QuotaGrant const& grant, std::uint64_t poll, Instant now) -> void {
   auto const sent = std::find_if(m_polls.begin(), m_polls.end(),
                                  [&](auto const& one) { return one.sequence == poll; });
-  if (sent == m_polls.end() || now - sent->at > kAnswerTakenWithin) return;
+  if (sent == m_polls.end() || now - sent->at > kAnswerMaxAge) return;
   m_tells_shares = m_tells_shares || grant.asks_for_shares;
   if (grant.renewed != 0 && grant.renewed == m_number) {
     m_lease_end = std::max(m_lease_end, sent->at + traffic::kQuotaLease);
@@ -138,22 +139,22 @@
                                    std::vector<traffic::LimitTokenRequest> limited)
     -> std::optional<traffic::TokenRequest> {
   if ((wanted.empty() && limited.empty()) || !may_request_tokens(now)) return std::nullopt;
-  m_asked_at = now;
-  return traffic::TokenRequest{m_router, ++m_questions, std::move(wanted), std::move(limited)};
+  m_requested_at = now;
+  return traffic::TokenRequest{m_router, ++m_token_requests, std::move(wanted), std::move(limited)};
 }
 
 auto QuotaGate::may_request_tokens(Instant now) const -> bool {
-  return !m_asked_at || now - *m_asked_at >= kQuestionLimit;
+  return !m_requested_at || now - *m_requested_at >= kTokenRequestTimeout;
 }
 
 auto QuotaGate::take(traffic::TokenAnswer const& answer, Instant now) -> bool {
-  if (!m_asked_at || answer.sequence != m_questions) return false;
-  m_asked_at.reset();
+  if (!m_requested_at || answer.sequence != m_token_requests) return false;
+  m_requested_at.reset();
   for (auto const& grant : answer.granted) {
     auto const found = m_limited.find(grant.tenant);
     if (found == m_limited.end() || grant.retry_after_ms <= 0) continue;
     auto const wait = Duration(std::chrono::milliseconds(grant.retry_after_ms));
-    found->second.refused_until = now + std::min(wait, kRefusedLongest);
+    found->second.refused_until = now + std::min(wait, kRefusalMaximum);
   }
   return true;
 }
--- a/src/gateway/quota_gate.h
+++ b/src/gateway/quota_gate.h
@@ -1,5 +1,5 @@
 /// @file
-/// Lets requests in by this gateway's shares of their tenants' quotas.
+/// Admits requests under this gateway's shares of their tenants' quotas.
 #pragma once
 
 #include <cstdint>
@@ -12,47 +12,48 @@
 
 namespace graniteseam::gateway {
 
-/// Invariant: requests are let in by a share that the leader leased and whose lease is not over, or
-/// by a single token that it gave for them; so all gateways together keep a tenant's quota,
-/// whatever each of them knows. A share begins empty: what its last holder let in just before
-/// counts.
+/// Invariant: a request is admitted under a share leased from the leader whose lease has not
+/// expired, or by a single token that the leader granted for it. All gateways together thus stay
+/// within a tenant's quota, whatever state each of them has. A share starts empty, since requests
+/// that its last holder admitted just before still count.
 ///
-/// A request that no share has room for asks for a token, unless the leader has just said that
-/// there are none. Not thread safe; `now` never goes back.
+/// A request for which the share has no room needs a token, unless the leader recently reported
+/// that there are none. Not thread safe; `now` must not decrease.
 class QuotaGate {
  public:
   enum class Verdict {
     kAdmitted,
-    kNeedsToken,  ///< A token of the leader decides.
-    kRefused,     ///< The leader had none a moment ago.
+    kNeedsToken,  ///< A token from the leader is needed.
+    kRefused,     ///< The leader recently had no tokens.
   };
 
   explicit QuotaGate(RouterId router) : m_router(std::move(router)) {}
 
-  /// Takes limits that are in force from now on.
+  /// Applies the tenants' current quotas.
   auto follow(TenantTable const& tenants) -> void;
 
   auto admit(traffic::TenantName const& tenant, Instant now) -> Verdict;
-  /// The same of a request that waited in vain for a token.
+  /// Like admit(), for a request that waited in vain for a token: uses the share alone and does not
+  /// count as new demand.
   auto admit_by_share(traffic::TenantName const& tenant, Instant now) -> bool;
-  /// A request that was let in was not sent to any server.
+  /// Returns the token of an admitted request that was not sent to any server.
   auto give_back(traffic::TenantName const& tenant) -> void;
-  /// When a tenant that was refused may come again.
+  /// The wait after which a refused tenant may retry.
   auto retry_after(traffic::TenantName const& tenant, Instant now) const -> Duration;
 
-  /// Adds what the leader must know to a poll.
+  /// Adds demand, and shares if the leader asked for them, to a poll.
   auto add_to_poll(traffic::TrafficPoll& poll, Instant now) -> void;
-  /// Takes the answer to the poll with this sequence.
+  /// Applies the answer to the poll with this sequence number.
   auto take(traffic::QuotaGrant const& grant, std::uint64_t poll, Instant now) -> void;
 
-  /// What to ask the leader for, when there is something and no question is open.
-  /// @param limited what else to ask for: tokens of instances that name limits.
+  /// The next token request to the leader; nullopt when nothing is wanted or a request is open.
+  /// @param limited tokens of rate-limited instances to request as well.
   auto next_token_request(std::vector<traffic::TenantCount> wanted, Instant now,
                           std::vector<traffic::LimitTokenRequest> limited = {})
       -> std::optional<traffic::TokenRequest>;
-  /// Whether no question is open.
+  /// Whether no token request is open.
   auto may_request_tokens(Instant now) const -> bool;
-  /// @return whether the answer is one to the open question.
+  /// @return whether the answer belongs to the open token request.
   auto take(traffic::TokenAnswer const& answer, Instant now) -> bool;
 
  private:
@@ -65,8 +66,8 @@
   struct Limited {
     traffic::TenantQuota quota;
     std::optional<Bucket> share;
-    std::uint32_t asked = 0;  ///< Since the last poll.
-    Instant refused_until{};  ///< The leader had no tokens.
+    std::uint32_t asked = 0;  ///< Requests since the last poll.
+    Instant refused_until{};  ///< Until then the leader is taken to have no tokens.
   };
   struct SentPoll {
     std::uint64_t sequence = 0;
@@ -79,12 +80,12 @@
 
   RouterId const m_router;
   std::map<traffic::TenantName, Limited> m_limited;
-  std::uint64_t m_number = 0;  ///< Of the set of shares in use.
+  std::uint64_t m_number = 0;  ///< Number of the active set of shares.
   Instant m_lease_end{};
   std::deque<SentPoll> m_polls;
   bool m_tells_shares = false;
-  std::uint64_t m_questions = 0;
-  std::optional<Instant> m_asked_at;  ///< When the open question was sent.
+  std::uint64_t m_token_requests = 0;
+  std::optional<Instant> m_requested_at;  ///< When the open token request was sent.
 };
 
 }  // namespace graniteseam::gateway
--- a/src/gateway/refusals.cc
+++ b/src/gateway/refusals.cc
@@ -16,8 +16,8 @@
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 
-/// When to come back: after this part of the time that the caller has left. Sooner, it would mostly
-/// find what it found before; callers with little time may try only once.
+/// Retry-After is the caller's remaining time divided by this. A sooner retry would mostly find the
+/// same state; callers with little time may retry only once.
 constexpr int kRetryAfterPartOfTimeLeft = 4;
 constexpr Duration kRetryAfterMinimum{20'000};
 constexpr Duration kRetryAfterMaximum{1'000'000};
@@ -41,9 +41,9 @@
 }
 
 auto retry_after(LiveRequest const& request, RefusalReason reason, Instant now) -> Duration {
-  // Where this gateway is behind, coming back at once to another one helps.
+  // This gateway's map is out of date; an immediate retry at another gateway may succeed.
   if (reason == RefusalReason::kStaleOwner) return kRetryAfterMinimum;
-  // Whoever comes back sooner is refused again.
+  // An earlier retry would be refused again.
   if (reason == RefusalReason::kQuarantined) return traffic::kSuspectKept;
   if (reason == RefusalReason::kResting && request.server_back_off_until > now) {
     return std::clamp<Duration>(request.server_back_off_until - now, kRetryAfterMinimum,
--- a/src/gateway/refusals.h
+++ b/src/gateway/refusals.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a gateway answers in its own name.
+/// Builds the gateway's own answers to requests.
 #pragma once
 
 #include "graniteseam/common/time.h"
@@ -8,14 +8,14 @@
 
 namespace graniteseam::gateway {
 
-/// The answer to a request that has not run and never will. With 503 it says when to come back.
+/// The answer to a request that has not run and never will. Status 503 includes a retry time.
 auto refusal_without_run(LiveRequest const& request, RefusalReason reason, Instant now) -> Refuse;
 
 /// The answer to a request whose tenant's quota is used up.
-/// @param retry_after when there may be room again.
+/// @param retry_after when the quota may have room again.
 auto refusal_by_quota(LiveRequest const& request, Duration retry_after) -> Refuse;
 
-/// The answer to a request that may have run and will not be sent again.
+/// The answer to a request that may have run and will not be retried.
 auto refusal_of_unknown_outcome(LiveRequest const& request) -> Refuse;
 
 /// The answer to a request that may have run, at its deadline.
--- a/src/gateway/request_ending.cc
+++ b/src/gateway/request_ending.cc
@@ -1,4 +1,4 @@
-// What follows the end of an attempt: the request is answered, sent again or refused.
+// The end of an attempt and of a request: answer, retry or refusal.
 #include <string>
 
 #include "graniteseam/common/duration_text.h"
@@ -10,10 +10,10 @@
 namespace graniteseam::gateway {
 namespace {
 
-/// Between two looks at a key whose owner refused it.
+/// Interval between two tries for a key whose owner refused it.
 constexpr Duration kOwnerRetry{30'000};
-/// How long an owner that said it is none is left alone.
-constexpr Duration kDisowned{400'000};
+/// How long an owner that replied that it does not own the range gets no request for it.
+constexpr Duration kStaleOwnerPeriod{400'000};
 
 std::string AfterMs(Duration taken) { return ", after " + InMs(taken); }
 
@@ -49,25 +49,26 @@
   const bool keyed = traffic_.is_keyed(request.service);
   const traffic::KeyRange* const range =
       keyed ? traffic_.keys().Find(request.service, *request.arrived.key) : nullptr;
-  if (report.not_owner && range != nullptr) traffic_.keys().MarkOwnerStale(*range, now + kDisowned);
+  if (report.not_owner && range != nullptr)
+    traffic_.keys().MarkOwnerStale(*range, now + kStaleOwnerPeriod);
   if (crashes_.is_quarantined(request.arrived.digest)) {
     return End(request, RefusalReason::kQuarantined, now);
   }
-  // The key has no other server; a retry that can't be sent must not use up the budget.
+  // The key has no other server, and a retry that cannot be sent must not use up the budget.
   if (range != nullptr && BacksOffPastHold(request, range->owner)) {
     if (may_be_relayed(report)) return Relay(request);
     request.server_back_off_until = traffic_.backends().pressure().back_off_until(range->owner);
     return EndWithoutRun(request, RefusalReason::kResting, now);
   }
-  const auto bar = retry_block_reason(request, report.end, BudgetOf(request.service),
-                                      traffic_.gateway_count(), now);
-  if (!bar) return Requeue(request, now);
+  const auto block_reason = retry_block_reason(request, report.end, BudgetOf(request.service),
+                                               traffic_.gateway_count(), now);
+  if (!block_reason) return Requeue(request, now);
   if (may_be_relayed(report)) return Relay(request);
-  End(request, *bar, now);
+  End(request, *block_reason, now);
 }
 
 void GatewayNode::Requeue(LiveRequest& request, Instant now) {
-  // The owner of a key refused it: it lost the key, and its next owner is not known here yet.
+  // The owner refused the key: it has lost the key, and the next owner is not known here yet.
   const bool again_at_owner = traffic_.is_keyed(request.service);
   request.not_before = again_at_owner ? now + kOwnerRetry : now;
   requests_.enqueue(request);
--- a/src/gateway/request_sending.cc
+++ b/src/gateway/request_sending.cc
@@ -1,4 +1,4 @@
-// Which server a waiting request goes to, and what it waits for otherwise.
+// Choice of a server for waiting requests, and their waits.
 #include <algorithm>
 #include <utility>
 
@@ -8,8 +8,8 @@
 namespace graniteseam::gateway {
 namespace {
 
-/// Of the limit that the owner of a key names, the part that all gateways send it while no leader
-/// gives tokens: enough to hear of its end.
+/// The part of the limit of a key's owner that all gateways together send on their own tokens while
+/// no leader grants any: enough to detect that the limit has ended.
 constexpr double kOwnPartWithoutLeader = 0.2;
 
 }  // namespace
@@ -17,8 +17,8 @@
 void GatewayNode::ServeWaiting(const ServiceName& service, Instant now) {
   const bool keyed = traffic_.is_keyed(service);
   std::vector<WaitingPlace> places = requests_.queue_of(service);
-  // Those that can still be answered within their targets go first: what is late anyway is worth
-  // the same a little later.
+  // Requests that can still be answered within their targets go first: a request that is already
+  // late loses nothing more by a little extra delay.
   if (keyed) {
     std::stable_partition(places.begin(), places.end(), [&](const WaitingPlace& place) {
       return is_in_time(requests_.at(place.number), now);
@@ -26,7 +26,8 @@
   }
   for (const WaitingPlace& place : places) {
     LiveRequest& request = requests_.at(place.number);
-    // Timers stand still while a machine is suspended: what wakes it may come before they do.
+    // Timers stop while a machine is suspended: the event that wakes it may arrive before they
+    // fire.
     if (now >= request.give_up) {
       GiveUp(request, now);
       continue;
@@ -72,7 +73,7 @@
     return WaitForOwner(request, RefusalReason::kNoOwner, now);
   }
   if (traffic_.keys().IsOwnerStale(*range, now)) {
-    // This gateway's map is behind: the caller had better ask another one soon.
+    // This gateway's map is out of date: the caller should soon try another gateway.
     return Wait(request, RefusalReason::kStaleOwner, short_hold(request), now);
   }
   if (now < owner->paused_until) return WaitForOwner(request, RefusalReason::kOwnerFails, now);
@@ -91,7 +92,7 @@
   BackendTable& backends = traffic_.backends();
   const Backend* backend =
       backends.Choose(request.service, request.tried, request.target_latency, now);
-  // With no other server left, one that was tried may do better now.
+  // With no other server left, one that was already tried may succeed now.
   if (backend == nullptr)
     backend = backends.Choose(request.service, {}, request.target_latency, now);
   if (backend == nullptr) {
@@ -130,7 +131,7 @@
   request.probes.open = 0;
   Note(request.arrived.number, "probed", {},
        std::to_string(request.probes.loads_received) + " of " + std::to_string(asked.size()) +
-           " told their load");
+           " reported their load");
   const Backend* const backend =
       traffic_.backends().FastestProbed(asked, request.target_latency, now);
   if (backend == nullptr) {
@@ -141,11 +142,11 @@
 }
 
 GatewayNode::Step GatewayNode::Send(LiveRequest& request, const Backend& backend, Instant now) {
-  if (const auto bar = traffic_.backends().SendBlockReason(backend, now)) {
+  if (const auto block_reason = traffic_.backends().SendBlockReason(backend, now)) {
     const bool keyed = traffic_.is_keyed(request.service);
-    if (!keyed) return Wait(request, *bar, short_hold(request), now);
-    if (*bar == RefusalReason::kResting) return WaitForBackOff(request, backend, now);
-    if (*bar != RefusalReason::kLimited) return WaitForOwner(request, *bar, now);
+    if (!keyed) return Wait(request, *block_reason, short_hold(request), now);
+    if (*block_reason == RefusalReason::kResting) return WaitForBackOff(request, backend, now);
+    if (*block_reason != RefusalReason::kLimited) return WaitForOwner(request, *block_reason, now);
     if (WaitForToken(request, backend, now) == Step::kWaits) return Step::kWaits;
   }
   BeginAttempt(request, backend, now);
@@ -175,11 +176,11 @@
   if (request.token_wait_since == Instant{}) request.token_wait_since = now;
   request.waits_for = RefusalReason::kLimited;
   const Instant end = limit_wait_end(request);
-  const bool leader_is_silent = now >= end;
-  if (leader_is_silent && pressure.has_own_token(id, kOwnPartWithoutLeader, now)) {
+  const bool leader_timed_out = now >= end;
+  if (leader_timed_out && pressure.has_own_token(id, kOwnPartWithoutLeader, now)) {
     return Step::kSent;
   }
-  if (leader_is_silent || pressure.is_exhausted(id, now)) {
+  if (leader_timed_out || pressure.is_exhausted(id, now)) {
     requests_.set_timer(request, {});
     return Step::kWaits;
   }
--- a/src/gateway/retry_rules.cc
+++ b/src/gateway/retry_rules.cc
@@ -4,10 +4,10 @@
 namespace {
 
 constexpr int kFirstFailureStatus = 500;
-/// Connections that failed before one request is given up.
+/// Failed connections after which a request is ended.
 constexpr std::uint32_t kUnsentMaximum = 3;
 
-auto is_promise(int status) -> bool {
+auto promises_not_run(int status) -> bool {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
@@ -22,25 +22,26 @@
 }
 
 auto may_be_relayed(AttemptReport const& report) -> bool {
-  return report.end == AttemptEnd::kAnswered && !is_promise(report.status);
+  return report.end == AttemptEnd::kAnswered && !promises_not_run(report.status);
 }
 
 auto retry_block_reason(LiveRequest const& request, AttemptEnd end, SharedRetryBudget& budget,
                         std::uint32_t gateways, Instant now) -> std::optional<RefusalReason> {
   auto const ran = may_have_run(end);
   if (ran && !traffic::MayRepeat(request.kind)) return RefusalReason::kOutcomeUnknown;
-  // Of a request that may have run in this attempt, the caller is told nothing else.
-  auto const because = [ran](RefusalReason reason) {
+  // For a request that may have run in this attempt, the caller gets no other reason.
+  auto const reason_or_unknown = [ran](RefusalReason reason) {
     return ran ? RefusalReason::kOutcomeUnknown : reason;
   };
-  if (now >= request.give_up) return because(RefusalReason::kDeadline);
+  if (now >= request.give_up) return reason_or_unknown(RefusalReason::kDeadline);
   if (end == AttemptEnd::kNotSent) {
     if (request.unsent < kUnsentMaximum) return std::nullopt;
     return RefusalReason::kAttemptsUsed;
   }
-  if (request.attempts >= request.attempts_maximum) return because(RefusalReason::kAttemptsUsed);
+  if (request.attempts >= request.attempts_maximum)
+    return reason_or_unknown(RefusalReason::kAttemptsUsed);
   if (budget.Take(gateways, now)) return std::nullopt;
-  return because(RefusalReason::kBudget);
+  return reason_or_unknown(RefusalReason::kBudget);
 }
 
 }  // namespace graniteseam::gateway
--- a/src/gateway/retry_rules.h
+++ b/src/gateway/retry_rules.h
@@ -1,5 +1,5 @@
 /// @file
-/// What may follow the end of an attempt.
+/// Rules for what may follow the end of an attempt.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,20 @@
 
 namespace graniteseam::gateway {
 
-/// Whether the request ran or may have run in the attempt.
+/// Whether the request ran, or may have run, in the attempt.
 auto may_have_run(AttemptEnd end) -> bool;
 
-/// Whether an answer goes to the caller at once: no retry is considered.
+/// Whether an answer goes to the caller at once, without considering a retry.
 auto is_final_answer(AttemptReport const& report) -> bool;
 
-/// Whether an answer may go to the caller when the request is not sent again. A status by which a
-/// server would promise that a request did not run may not: without the mark that says so it
-/// promises nothing.
+/// Whether an answer may go to the caller when the request is not retried. A status by which a
+/// server would state that a request did not run may not: without the header that confirms it, the
+/// status guarantees nothing.
 auto may_be_relayed(AttemptReport const& report) -> bool;
 
-/// Decides whether a request is sent again after an attempt, and takes that out of the budget.
-/// Invariant: an unsafe request that may have run in the attempt is never sent again.
-/// @return nullopt when it is sent again, else why not.
+/// Decides whether a request is retried after an attempt, and charges the retry to the budget.
+/// Invariant: an unsafe request that may have run in the attempt is never retried.
+/// @return nullopt when it is retried, else the reason why not.
 auto retry_block_reason(LiveRequest const& request, AttemptEnd end, SharedRetryBudget& budget,
                         std::uint32_t gateways, Instant now) -> std::optional<RefusalReason>;
 
--- a/src/gateway/route_table.cc
+++ b/src/gateway/route_table.cc
@@ -7,7 +7,7 @@
 namespace graniteseam::gateway {
 namespace {
 
-/// Turns after which whole percentages repeat themselves.
+/// The number of turns after which a split in whole percentages repeats.
 constexpr int kTurns = 100;
 
 std::string LowerCase(std::string_view text) {
@@ -17,7 +17,7 @@
   return lower;
 }
 
-/// A host without its port.
+/// The host without its port.
 std::string_view HostName(std::string_view host) { return host.substr(0, host.find(':')); }
 
 }  // namespace
@@ -28,7 +28,7 @@
     hosts_.clear();
   }
   for (const traffic::RouteName& name : update.removed_routes) Remove(name);
-  // A route may move to the place of another one that moves in the same update.
+  // A route may take the host and path of another one that moves in the same update.
   for (const traffic::Route& route : update.routes) Remove(route.name);
   for (const traffic::Route& route : update.routes) Put(route);
 }
--- a/src/gateway/route_table.h
+++ b/src/gateway/route_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// Finds a request's route by host and longest path prefix, and divides it among services.
+/// Finds a request's route by host and longest path prefix, and splits its requests among services.
 #pragma once
 
 #include <cstdint>
@@ -14,28 +14,28 @@
 
 namespace graniteseam::gateway {
 
-/// Not thread safe.
+/// Routes by name and by host and path prefix. Not thread safe.
 class RouteTable {
  public:
-  /// @param seed draws where the turns of a divided route begin. Where many gateways have a few
-  /// requests each, one beginning for all would give nothing to parts with little weight.
+  /// @param seed draws the turn at which a split route starts. If many gateways with a few requests
+  /// each started at the same turn, services with little weight would get none.
   explicit RouteTable(std::uint64_t seed) : random_(seed) {}
 
-  /// Takes an update's routes; one with base 0 replaces all.
+  /// Applies an update's routes; one with base 0 replaces all.
   void Apply(const traffic::TrafficUpdate& update);
 
   /// @return null when the configuration has no such route; valid until the next Apply().
   const traffic::Route* Find(std::string_view host, std::string_view path) const;
 
-  /// The service of the route's next request: parts follow their weights as evenly as whole
+  /// The service of the route's next request; the split follows the weights as evenly as whole
   /// requests allow (smooth weighted round robin).
-  /// @return nullopt when no part has a weight.
+  /// @return nullopt when no service has a weight.
   std::optional<ServiceName> NextService(const traffic::Route& route);
 
  private:
   struct Entry {
     traffic::Route route;
-    std::vector<double> credit;  ///< One a part.
+    std::vector<double> credit;  ///< One for each service of the split.
   };
   using ByPrefix = std::map<std::string, traffic::RouteName>;
 
--- a/src/gateway/shared_retry_budget.cc
+++ b/src/gateway/shared_retry_budget.cc
@@ -6,15 +6,15 @@
 namespace {
 
 constexpr int kSlicesPerWindow = 20;
-/// Kept in reserve: requests and their repetitions do not reach servers at the instant at which
-/// they are counted here.
-constexpr double kUsable = 0.8;
+/// The part of the budget in use; the rest is a reserve: requests and their retries do not reach
+/// servers at the instant at which they are counted here.
+constexpr double kUsablePart = 0.8;
 
 }  // namespace
 
 SharedRetryBudget::Slice& SharedRetryBudget::Current(Instant now) {
   const Duration length = limits_.window / kSlicesPerWindow;
-  // One slice more than the window, so that a sliding window never holds more than was allowed.
+  // Keeps one slice more than the window, so that no sliding window holds more than is allowed.
   while (!slices_.empty() && now - slices_.front().start > limits_.window + length) {
     slices_.pop_front();
   }
@@ -33,7 +33,7 @@
     repeats += slice.repeats;
   }
   const double part = limits_.extra / std::max(1U, gateways);
-  if (repeats + 1 > kUsable * (limits_.ratio * requests + part)) return false;
+  if (repeats + 1 > kUsablePart * (limits_.ratio * requests + part)) return false;
   current.repeats += 1;
   return true;
 }
--- a/src/gateway/shared_retry_budget.h
+++ b/src/gateway/shared_retry_budget.h
@@ -10,26 +10,26 @@
 namespace graniteseam::gateway {
 
 /// In every window, all gateways together may send at most `ratio` times the requests, plus
-/// `extra`, beyond the first sending of each request. The requests are those of that window or of
-/// the one before it, whichever are more, since a repetition follows its request. One budget a
-/// service.
+/// `extra`, as retries beyond each request's first attempt. The requests are those of that window
+/// or of the one before it, whichever are more, since a retry follows its request. Each service has
+/// its own budget.
 struct RetryBudgetLimits {
   double ratio = 0.2;
   double extra = 20;
   Duration window{10'000'000};
 };
 
-/// Invariant: what this gateway sends again in any window stays within its own requests' ratio plus
-/// its part of the extra; so all gateways together stay within the whole, also when they can't
-/// speak to each other. Not thread safe; `now` never goes back.
+/// Invariant: this gateway's retries in any window stay within its own requests' ratio plus its
+/// part of the extra. All gateways together thus stay within the whole budget, also when they
+/// cannot communicate. Not thread safe; `now` must not decrease.
 class SharedRetryBudget {
  public:
   explicit SharedRetryBudget(const RetryBudgetLimits& limits) : limits_(limits) {}
 
   void CountRequest(Instant now);
 
-  /// Takes one repetition out of the budget.
-  /// @param gateways that share it, this one included.
+  /// Charges one retry to the budget.
+  /// @param gateways that share it, including this one.
   /// @return false when nothing is left.
   bool Take(std::uint32_t gateways, Instant now);
 
--- a/src/gateway/tenant_table.cc
+++ b/src/gateway/tenant_table.cc
@@ -13,7 +13,7 @@
   for (auto const& route : update.removed_routes) m_anonymous.erase(route);
   for (auto const& route : update.routes) m_anonymous.erase(route.name);
   m_anonymous.insert(tenancy.anonymous_routes.begin(), tenancy.anonymous_routes.end());
-  // A key may go from one tenant to another in one update: all that goes does so first.
+  // A key may move from one tenant to another in one update: removals come first.
   for (auto const& name : tenancy.removed_tenants) remove(name);
   for (auto const& tenant : tenancy.tenants) remove(tenant.name);
   for (auto const& tenant : tenancy.tenants) {
--- a/src/gateway/tenant_table.h
+++ b/src/gateway/tenant_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// Who may send requests, as a gateway was told: tenants by the digests of their keys.
+/// The tenants, found by the digests of their API keys, as received from control.
 #pragma once
 
 #include <map>
@@ -11,17 +11,19 @@
 
 namespace graniteseam::gateway {
 
-/// Keys of a tenant are in force, and gone, with the update that says so. Not thread safe.
+/// API keys take effect, and lose effect, with the update that adds or removes them. Not thread
+/// safe.
 class TenantTable {
  public:
-  /// Takes an update's tenants; one with base 0 replaces all.
+  /// Applies an update's tenants; one with base 0 replaces all.
   auto apply(traffic::TrafficUpdate const& update) -> void;
 
-  /// Whether requests need a key at all. Keys are then for gateways alone: servers see none.
+  /// Whether requests need an API key. If so, keys are for gateways only and are hidden from
+  /// servers.
   auto keys_required() const -> bool { return m_keys_required; }
   auto is_anonymous(traffic::RouteName const& route) const -> bool;
 
-  /// @return the holder of a key, null when there is none; valid until the next apply().
+  /// @return the tenant that holds a key, null when there is none; valid until the next apply().
   auto find(traffic::KeyDigest const& key) const -> traffic::Tenant const*;
   auto tenants() const -> std::map<traffic::TenantName, traffic::Tenant> const& {
     return m_tenants;
--- a/src/gateway/token_queue.h
+++ b/src/gateway/token_queue.h
@@ -12,7 +12,7 @@
 
 namespace graniteseam::gateway {
 
-/// Oldest first in each tenant. Not thread safe.
+/// One queue for each tenant, oldest first. Not thread safe.
 class TokenQueue {
  public:
   auto add(traffic::TenantName const& tenant, RequestNumber request) -> void;
@@ -20,9 +20,9 @@
   auto contains(RequestNumber request) const -> bool { return m_waiting.contains(request); }
 
   auto size() const -> std::size_t { return m_waiting.size(); }
-  /// How many wait, of each tenant.
+  /// The number of waiting requests of each tenant.
   auto wanted() const -> std::vector<traffic::TenantCount>;
-  /// Takes the oldest out, `count` at most.
+  /// Removes and returns the oldest requests of a tenant, at most `count`.
   auto take(traffic::TenantName const& tenant, std::size_t count) -> std::vector<RequestNumber>;
 
  private:
--- a/src/gateway/traffic_view.cc
+++ b/src/gateway/traffic_view.cc
@@ -11,7 +11,7 @@
 auto TrafficView::take(traffic::TrafficUpdate const& update, Instant now) -> bool {
   if (update.routers > 0) m_gateways = update.routers;
   m_backends.pressure().set_gateways(gateway_count());
-  // Only the answer to a poll names a place.
+  // Only the answer to a poll includes a place.
   auto const names_place = update.routers > 0 && update.sequence > 0;
   if (names_place) m_backends.SetPlace({update.router_place, update.routers});
   if (update.sequence > 0) note_answer(update.version, now);
@@ -23,15 +23,15 @@
 }
 
 auto TrafficView::note_answer(std::uint64_t version, Instant now) -> void {
-  constexpr std::size_t kToldMaximum = 16;
-  m_told.push_back({version, now});
-  if (m_told.size() > kToldMaximum) m_told.pop_front();
+  constexpr std::size_t kPendingMaximum = 16;
+  m_pending_versions.push_back({version, now});
+  if (m_pending_versions.size() > kPendingMaximum) m_pending_versions.pop_front();
 }
 
 auto TrafficView::confirm_backends() -> void {
-  while (!m_told.empty() && m_told.front().version <= m_version) {
-    m_backends.Confirm(m_told.front().at);
-    m_told.pop_front();
+  while (!m_pending_versions.empty() && m_pending_versions.front().version <= m_version) {
+    m_backends.Confirm(m_pending_versions.front().at);
+    m_pending_versions.pop_front();
   }
 }
 
--- a/src/gateway/traffic_view.h
+++ b/src/gateway/traffic_view.h
@@ -1,5 +1,5 @@
 /// @file
-/// The traffic state as a gateway knows it from control's updates.
+/// A gateway's copy of the traffic state, built from control's updates.
 #pragma once
 
 #include <cstdint>
@@ -15,28 +15,29 @@
 
 namespace graniteseam::gateway {
 
-/// Invariant: the state never goes back to an older version, and leaves out none. Not thread safe;
-/// `now` never goes back.
+/// Invariant: the state never returns to an older version and skips none. Not thread safe; `now`
+/// must not decrease.
 class TrafficView {
  public:
-  /// @param gateways_assumed while control has not said how many there are.
+  /// @param gateways_assumed number of gateways until control reports it.
   TrafficView(BackendOptions backends, std::uint32_t gateways_assumed, std::uint64_t seed);
 
-  /// Takes an update that begins at or before this version and ends after it.
-  /// @return false when it is not one. One that leaves a gap is asked for again by poll.
+  /// Applies an update that begins at or before this version and ends after it.
+  /// @return false when the update does not fit and was ignored. After a gap, the next poll
+  /// requests the missing changes.
   auto take(traffic::TrafficUpdate const& update, Instant now) -> bool;
 
   /// Whether a configuration was ever received.
   auto is_ready() const -> bool { return m_configuration.value > 0; }
   auto is_keyed(ServiceName const& service) const -> bool;
-  /// Where servers of a service tell their load; empty when the service names no such path.
+  /// The path at which servers of a service report their load; empty when the service has none.
   auto health_path(ServiceName const& service) const -> std::string;
   auto gateway_count() const -> std::uint32_t;
   auto limits() const -> traffic::CallerLimits const& { return m_limits; }
   auto configuration() const -> traffic::ConfigurationVersion { return m_configuration; }
   auto version() const -> std::uint64_t { return m_version; }
-  /// "version 12, configuration 5, routes 3, ..." for the log: what stands here, and how much of
-  /// it an update brought.
+  /// "version 12, configuration 5, routes 3, ..." for the log: the current versions, and the number
+  /// of items in the update.
   auto describe(traffic::TrafficUpdate const& update) const -> std::string;
 
   auto routes() -> RouteTable& { return m_routes; }
@@ -47,13 +48,13 @@
 
  private:
   auto apply(traffic::TrafficUpdate const& update, Instant now) -> void;
-  /// Notes how far the leader was when it answered.
+  /// Records the leader's version at the time of its answer.
   auto note_answer(std::uint64_t version, Instant now) -> void;
-  /// What is here is all that was true when the leader last told a version that is here by now. A
-  /// feed proves nothing itself: it may be behind.
+  /// Confirms that the state here was complete when the leader last reported a version that has
+  /// arrived by now. An update from the feed confirms nothing itself, since the feed may be behind.
   auto confirm_backends() -> void;
 
-  struct Told {
+  struct ReportedVersion {
     std::uint64_t version = 0;
     Instant at;
   };
@@ -67,8 +68,9 @@
   traffic::CallerLimits m_limits;
   traffic::ConfigurationVersion m_configuration;
   std::uint64_t m_version = 0;
-  std::deque<Told> m_told;       ///< By the leader, and not here yet; oldest first.
-  std::uint32_t m_gateways = 0;  ///< As control said; 0 before it did.
+  /// Reported by the leader and not yet reached here; oldest first.
+  std::deque<ReportedVersion> m_pending_versions;
+  std::uint32_t m_gateways = 0;  ///< As reported by control; 0 before its first report.
 };
 
 }  // namespace graniteseam::gateway
--- a/src/gateway/warm_up_gate.cc
+++ b/src/gateway/warm_up_gate.cc
@@ -7,12 +7,12 @@
 namespace graniteseam::gateway {
 namespace {
 
-/// Of the bound; the rest is kept for gateways that go by places told before.
-constexpr double kGivenOut = 0.5;
+/// The part of the bound in use; the rest is kept for gateways that still follow earlier places.
+constexpr double kUsedPart = 0.5;
 
 auto users_for(double requests_per_second) -> std::uint32_t {
   if (requests_per_second <= 0) return 0;
-  return std::max(1U, static_cast<std::uint32_t>(requests_per_second * kGivenOut));
+  return std::max(1U, static_cast<std::uint32_t>(requests_per_second * kUsedPart));
 }
 
 }  // namespace
