--- a/include/graniteseam/admission/allotter.h
+++ b/include/graniteseam/admission/allotter.h
@@ -87,7 +87,7 @@
   void Report(const RouterId& router, const std::vector<DemandReport>& reports, Instant now,
               const std::vector<CapacityReport>& capacities = {});
   /// Removes a router that left.
-  void Forget(const RouterId& router);
+  void RemoveRouter(const RouterId& router);
 
   /// Returns the router's allotments: one for every group of every service with a known capacity.
   std::vector<RouterAllotment> AllotmentsFor(const RouterId& router, Instant now);
--- a/src/admission/allotter.cc
+++ b/src/admission/allotter.cc
@@ -73,7 +73,7 @@
   if (!known) stale_ = true;
 }
 
-void Allotter::Forget(const RouterId& router) {
+void Allotter::RemoveRouter(const RouterId& router) {
   reports_.erase(router);
   allotments_.erase(router);
   stale_ = true;
--- a/src/control/router_sessions.cc
+++ b/src/control/router_sessions.cc
@@ -21,7 +21,7 @@
   answer.sequence = renewal.sequence;
   if (renewal.leaving) {
     sessions_.erase(renewal.router);
-    allotter_.Forget(renewal.router);
+    allotter_.RemoveRouter(renewal.router);
     return answer;
   }
   Session& session = sessions_[renewal.router];
--- a/src/gateway/back_pressure_table.h
+++ b/src/gateway/back_pressure_table.h
@@ -50,7 +50,7 @@
   /// Applies a limit that another gateway received; ignored when not newer than the one stored
   /// here.
   auto take(traffic::InstanceLimit const& limit, Instant now) -> Changes;
-  auto forget(traffic::InstanceId const& instance) -> void { m_entries.erase(instance); }
+  auto remove(traffic::InstanceId const& instance) -> void { m_entries.erase(instance); }
 
   /// Adds limits and back-off periods received since the last call to a poll.
   auto add_to_poll(traffic::TrafficPoll& poll, Instant now) -> void;
@@ -60,7 +60,7 @@
   auto limit_of(traffic::InstanceId const& instance, Instant now) const -> traffic::InstanceLimit;
 
   /// Whether an instance ever reported back pressure.
-  auto knows(traffic::InstanceId const& instance) const -> bool {
+  auto contains(traffic::InstanceId const& instance) const -> bool {
     return m_entries.contains(instance);
   }
   /// The instant until which an instance accepts no request from this gateway; Instant{} when it
--- a/src/gateway/backend_table.cc
+++ b/src/gateway/backend_table.cc
@@ -86,7 +86,7 @@
     if (fresh) backend.latency_us = Micros(options_.first_latency);
   }
   for (const auto& [id, backend] : before) {
-    if (!backends_.contains(id)) pressure_.forget(id);
+    if (!backends_.contains(id)) pressure_.remove(id);
   }
 }
 
@@ -111,7 +111,7 @@
   if (found == backends_.end()) return;
   Unlist(found->second);
   backends_.erase(found);
-  pressure_.forget(id);
+  pressure_.remove(id);
 }
 
 void BackendTable::UpdateWarmUp(Backend& backend, const traffic::Instance& next, bool fresh,
@@ -151,7 +151,7 @@
 std::optional<RefusalReason> BackendTable::SendBlockReason(const Backend& backend,
                                                            Instant now) const {
   const traffic::InstanceId& id = backend.instance.report.id;
-  if (!pressure_.knows(id)) return std::nullopt;
+  if (!pressure_.contains(id)) return std::nullopt;
   // The requests of a key's owner can go to no other server.
   const bool keyed = keyed_.contains(backend.instance.report.service);
   if (now < pressure_.back_off_until(id)) return RefusalReason::kResting;
@@ -183,9 +183,9 @@
 double BackendTable::LoadOf(const Backend& backend, Instant now) const {
   // Other gateways' requests end at the rate of this one's: their reported number decays with the
   // latency of a request.
-  const double age = Micros(now - backend.others_at);
+  const double age = Micros(now - backend.load_reported_at);
   const double fading = std::exp(-age / std::max(1.0, 2 * backend.latency_us));
-  return backend.in_flight + backend.others * fading;
+  return backend.in_flight + backend.others_in_flight * fading;
 }
 
 double BackendTable::OccupancyOf(const ServiceZone& place, Instant now) const {
@@ -259,7 +259,7 @@
     }
     const bool is_rare =
         pressure_.is_limited(id) || (warm_ups_.is_bounded() && WarmsUp(backend, now));
-    if (is_rare) choice.rare = &backend;
+    if (is_rare) choice.scarce = &backend;
     choice.usable.push_back(&backend);
   }
   choice.last_resort = full == nullptr ? best_ejected : full;
@@ -271,18 +271,18 @@
                                     Instant now) {
   const Choice choice = ChoiceOf(service, tried, now);
   // Such a server accepts few requests; they would be lost if it had to be drawn at random.
-  if (choice.rare != nullptr) return choice.rare;
+  if (choice.scarce != nullptr) return choice.scarce;
   if (choice.usable.empty()) return choice.last_resort;
   return HasEnoughSamples(service, services_.at(service).size(), now)
              ? ShortestWait(choice.usable, target, now)
              : DrawWithRoom(choice.usable, now);
 }
 
-BackendTable::Backends BackendTable::Draw(const ServiceName& service,
-                                          const std::vector<traffic::InstanceId>& tried,
-                                          std::size_t count, Instant now) {
+BackendTable::Backends BackendTable::DrawForProbes(const ServiceName& service,
+                                                   const std::vector<traffic::InstanceId>& tried,
+                                                   std::size_t count, Instant now) {
   const Choice choice = ChoiceOf(service, tried, now);
-  if (choice.rare != nullptr) return {};
+  if (choice.scarce != nullptr) return {};
   Backends near;
   Backends far;
   for (const Backend* const backend : choice.usable) {
@@ -292,7 +292,7 @@
   while (drawn.size() < count && !(near.empty() && far.empty())) {
     const bool last = drawn.size() + 1 == count;
     Backends& from = near.empty() || (last && !far.empty()) ? far : near;
-    drawn.push_back(DrawOne(from, now));
+    drawn.push_back(DrawBySpeed(from, now));
     std::erase(from, drawn.back());
   }
   return drawn.size() < 2 ? Backends{} : drawn;
@@ -304,7 +304,7 @@
   double least = 0;
   for (const traffic::InstanceId& id : asked) {
     const Backend* const backend = Find(id);
-    if (backend == nullptr || now - backend->others_at > kLoadReportMaxAge) continue;
+    if (backend == nullptr || now - backend->load_reported_at > kLoadReportMaxAge) continue;
     if (!backend->instance.TakesNewWork() || !HasConnectionLeft(*backend)) continue;
     if (!WarmUpAdmits(*backend, now) || SendBlockReason(*backend, now)) continue;
     if (LoadOf(*backend, now) >= SlotsOf(*backend) * (1.0 + options_.waiting_maximum)) continue;
@@ -325,7 +325,7 @@
 }
 
 void BackendTable::NoteUsualTime(const Backend& backend, Duration taken, Instant now) {
-  if (!backend.work_percent || now - backend.others_at > taken + kLoadReportMaxAge) return;
+  if (!backend.work_percent || now - backend.load_reported_at > taken + kLoadReportMaxAge) return;
   const double sample = Micros(taken) * kUsualPercent / *backend.work_percent;
   const auto [known, fresh] = usual_us_.try_emplace(backend.instance.report.service, sample);
   if (!fresh) known->second += kNewestUsual * (sample - known->second);
@@ -374,7 +374,7 @@
   const bool full = near.empty() || OccupancyOf(place, now) >= kZoneFullOccupancy;
   const Backend* best = nullptr;
   for (int draw = 0; draw < kDraws; ++draw) {
-    const Backend* const drawn = DrawOne(full ? usable : near, now);
+    const Backend* const drawn = DrawBySpeed(full ? usable : near, now);
     if (LoadOf(*drawn, now) < SlotsOf(*drawn)) return drawn;
     const bool better = best == nullptr || LoadOf(*drawn, now) < LoadOf(*best, now);
     if (better) best = drawn;
@@ -387,7 +387,7 @@
   return backend.latency_known ? std::optional(backend.latency_us) : std::nullopt;
 }
 
-const Backend* BackendTable::DrawOne(const Backends& backends, Instant now) {
+const Backend* BackendTable::DrawBySpeed(const Backends& backends, Instant now) {
   double known = 0;
   double latencies = 0;
   for (const Backend* const backend : backends) {
@@ -504,8 +504,8 @@
   const double reported = (load.running + load.waiting) / std::max(1.0, load.slots);
   occupancy.mean += kNewestOccupancy * (reported - occupancy.mean);
   occupancy.at = now;
-  backend.others = std::max(0.0, load.running + load.waiting - backend.in_flight);
-  backend.others_at = now;
+  backend.others_in_flight = std::max(0.0, load.running + load.waiting - backend.in_flight);
+  backend.load_reported_at = now;
   backend.work_percent = load.work_percent;
   if (load.slots > 0) backend.instance.report.slots = std::llround(load.slots);
 }
@@ -530,10 +530,11 @@
 
 std::string BackendTable::Describe(const Backend& backend, Instant now) const {
   char text[160];
-  const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - backend.others_at);
+  const auto age =
+      std::chrono::duration_cast<std::chrono::milliseconds>(now - backend.load_reported_at);
   std::snprintf(text, sizeof(text), "load %.1f of %.0f, reported %lld ms ago, latency %.0f ms%s",
                 LoadOf(backend, now), SlotsOf(backend),
-                backend.others_at == Instant{} ? -1LL : static_cast<long long>(age.count()),
+                backend.load_reported_at == Instant{} ? -1LL : static_cast<long long>(age.count()),
                 backend.latency_us / 1000, WarmsUp(backend, now) ? ", warms up" : "");
   std::string described = text;
   if (!backend.work_percent) return described;
--- a/src/gateway/backend_table.h
+++ b/src/gateway/backend_table.h
@@ -70,8 +70,8 @@
   /// Earliest instant at which it may have stopped taking new work; valid while it takes none.
   Instant drained_since{};
   std::uint32_t in_flight = 0;  ///< Requests of this gateway.
-  double others = 0;            ///< Requests of other gateways, as last reported.
-  Instant others_at{};          ///< When the server last reported its load.
+  double others_in_flight = 0;  ///< Requests of other gateways, as last reported.
+  Instant load_reported_at{};   ///< When the server last reported its load.
   /// Work time at the last load report, in percent of the usual; not every server reports it.
   std::optional<double> work_percent;
   double latency_us = 0;  ///< Mean latency of a request that did not wait.
@@ -135,8 +135,8 @@
   /// another zone, so that a zone which is fuller than others is detected.
   /// @return none if a warming-up or limited instance is to get the request, or if there is no
   /// choice.
-  Backends Draw(const ServiceName& service, const std::vector<traffic::InstanceId>& tried,
-                std::size_t count, Instant now);
+  Backends DrawForProbes(const ServiceName& service, const std::vector<traffic::InstanceId>& tried,
+                         std::size_t count, Instant now);
   /// The probed server with the earliest expected completion by its newest load report.
   /// @return nullptr when none of them answered and has room.
   const Backend* FastestProbed(const std::vector<traffic::InstanceId>& asked, Duration target,
@@ -214,7 +214,7 @@
     Backends usable;
     /// A server that may get only a single request from this gateway now, because it warms up or
     /// has a limit.
-    const Backend* rare = nullptr;
+    const Backend* scarce = nullptr;
     /// Used when `usable` is empty: a server at which this gateway has used its share of
     /// connections, or else the ejected one whose ejection ends first.
     const Backend* last_resort = nullptr;
@@ -230,7 +230,7 @@
   const Backend* DrawWithRoom(const Backends& usable, Instant now);
   /// Draws one of `backends`, each with a probability proportional to its speed, so that all get
   /// the same load relative to it; `backends` must not be empty.
-  const Backend* DrawOne(const Backends& backends, Instant now);
+  const Backend* DrawBySpeed(const Backends& backends, Instant now);
   /// The latency by which a server is drawn: the hinted one, else this gateway's own mean; nullopt
   /// without either.
   static std::optional<double> LatencyToDrawBy(const Backend& backend);
--- a/src/gateway/feed_watch.cc
+++ b/src/gateway/feed_watch.cc
@@ -35,7 +35,7 @@
     watch.advanced_at = now;
   }
   if (own_version >= watch.awaited) {
-    watch.asks_leader = false;
+    watch.wants_state_from_leader = false;
     watch.late = 0;
     return;
   }
@@ -52,7 +52,7 @@
   ++watch.tried;
   ++watch.late;
   watch.awaited_since = now;
-  watch.asks_leader = true;
+  watch.wants_state_from_leader = true;
 }
 
 }  // namespace graniteseam::gateway
--- a/src/gateway/feed_watch.h
+++ b/src/gateway/feed_watch.h
@@ -23,7 +23,8 @@
   std::uint64_t version = 0;  ///< The version here at the last check.
   Instant advanced_at{};      ///< When a check last found a newer version.
   std::uint32_t late = 0;     ///< Feeds abandoned since this gateway was last up to date.
-  bool asks_leader = false;   ///< Requests the state from the leader until it is up to date.
+  bool wants_state_from_leader =
+      false;  ///< Requests the state from the leader until it is up to date.
 };
 
 /// Records the leader's answer to a poll.
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -37,7 +37,7 @@
 
 GatewayEffects GatewayNode::OnUpdate(const traffic::TrafficUpdate& update, Instant now) {
   const bool taken = traffic_.take(update, now);
-  if (taken && ChangesTenants(update)) quotas_.follow(traffic_.tenants());
+  if (taken && ChangesTenants(update)) quotas_.apply_quotas(traffic_.tenants());
   if (update.sequence != 0) quotas_.take(update.quota, update.sequence, now);
   NoteConfirmation(update, now);
   if (!taken) return Finish();
@@ -142,7 +142,7 @@
   if (request == nullptr) return Finish();
   const ServiceName service = request->service;
   Note(number, "caller_gone", request->open ? request->open->instance : traffic::InstanceId{}, "");
-  Forget(*request);
+  Remove(*request);
   ServeWaiting(service, now);
   return Finish();
 }
@@ -172,7 +172,7 @@
   poll.version = version();
   check_feed(feed_, version(), now);
   const bool has_feed = !feed_.address.empty();
-  poll.wants_state = has_feed ? feed_.asks_leader : feed_.answered;
+  poll.wants_state = has_feed ? feed_.wants_state_from_leader : feed_.answered;
   poll.feeds_tried = feed_.tried;
   reported_configuration_ = configuration();
   poll.loads = key_loads_.take();
@@ -243,14 +243,14 @@
   Note(request.arrived.number, "refuse", {},
        "quota of " + request.tenant.value + ", retry after " + InMs(retry_after));
   effects_.actions.emplace_back(refusal_by_quota(request, retry_after));
-  Forget(request);
+  Remove(request);
 }
 
 void GatewayNode::AskForTokens(Instant now) {
   if (!quotas_.may_request_tokens(now)) return;
   const BackPressureTable& pressure = traffic_.backends().pressure();
   std::vector<traffic::LimitTokenRequest> limited;
-  for (const LimitQueue::Wanted& wanted : limit_queue_.ask()) {
+  for (const LimitQueue::Wanted& wanted : limit_queue_.take_wanted()) {
     if (!pressure.is_limited(wanted.instance)) continue;
     limited.push_back({pressure.limit_of(wanted.instance, now), wanted.requests});
   }
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -193,7 +193,7 @@
   void GiveUp(LiveRequest& request, Instant now);
   void End(LiveRequest& request, RefusalReason reason, Instant now);
   void EndWithoutRun(LiveRequest& request, RefusalReason reason, Instant now);
-  void Forget(LiveRequest& request);
+  void Remove(LiveRequest& request);
 
   const GatewayOptions options_;
   TrafficView traffic_;
--- a/src/gateway/limit_queue.cc
+++ b/src/gateway/limit_queue.cc
@@ -10,7 +10,7 @@
 
 auto LimitQueue::remove(RequestNumber request) -> void { m_waiting.erase(request); }
 
-auto LimitQueue::ask() -> std::vector<Wanted> {
+auto LimitQueue::take_wanted() -> std::vector<Wanted> {
   std::map<traffic::InstanceId, std::uint32_t> counts;
   for (auto& [request, waiting] : m_waiting) {
     waiting.asked = true;
--- a/src/gateway/limit_queue.h
+++ b/src/gateway/limit_queue.h
@@ -25,7 +25,7 @@
 
   /// Returns the number of tokens to request for each instance, and marks all waiting requests as
   /// asked for.
-  auto ask() -> std::vector<Wanted>;
+  auto take_wanted() -> std::vector<Wanted>;
   /// Waiting requests whose tokens were requested.
   auto requested_for(traffic::InstanceId const& instance) const -> std::vector<RequestNumber>;
 
--- a/src/gateway/quota_gate.cc
+++ b/src/gateway/quota_gate.cc
@@ -26,7 +26,7 @@
   bucket.filled = now;
 }
 
-auto QuotaGate::follow(TenantTable const& tenants) -> void {
+auto QuotaGate::apply_quotas(TenantTable const& tenants) -> void {
   std::erase_if(m_limited, [&](auto const& entry) {
     auto const known = tenants.tenants().find(entry.first);
     return known == tenants.tenants().end() || !known->second.quota.is_limited();
--- a/src/gateway/quota_gate.h
+++ b/src/gateway/quota_gate.h
@@ -30,7 +30,7 @@
   explicit QuotaGate(RouterId router) : m_router(std::move(router)) {}
 
   /// Applies the tenants' current quotas.
-  auto follow(TenantTable const& tenants) -> void;
+  auto apply_quotas(TenantTable const& tenants) -> void;
 
   auto admit(traffic::TenantName const& tenant, Instant now) -> Verdict;
   /// Like admit(), for a request that waited in vain for a token: uses the share alone and does not
--- a/src/gateway/request_ending.cc
+++ b/src/gateway/request_ending.cc
@@ -78,7 +78,7 @@
 
 void GatewayNode::Relay(LiveRequest& request) {
   effects_.actions.emplace_back(RelayAnswer{request.arrived.number});
-  Forget(request);
+  Remove(request);
 }
 
 void GatewayNode::GiveUp(LiveRequest& request, Instant now) {
@@ -94,13 +94,13 @@
   Note(request.arrived.number, "give_up",
        request.open ? request.open->instance : traffic::InstanceId{}, "deadline or timeout");
   effects_.actions.emplace_back(refusal_at_deadline(request));
-  Forget(request);
+  Remove(request);
 }
 
 void GatewayNode::End(LiveRequest& request, RefusalReason reason, Instant now) {
   if (!request.may_have_run) return EndWithoutRun(request, reason, now);
   effects_.actions.emplace_back(refusal_of_unknown_outcome(request));
-  Forget(request);
+  Remove(request);
 }
 
 void GatewayNode::EndWithoutRun(LiveRequest& request, RefusalReason reason, Instant now) {
@@ -109,10 +109,10 @@
        std::string(ReasonName(reason)) + ", version " + std::to_string(version()) + ", confirmed " +
            InMs(now - confirmed_at_) + " ago" + AfterMs(now - request.received));
   effects_.actions.emplace_back(refusal_without_run(request, reason, now));
-  Forget(request);
+  Remove(request);
 }
 
-void GatewayNode::Forget(LiveRequest& request) {
+void GatewayNode::Remove(LiveRequest& request) {
   token_queue_.remove(request.tenant, request.arrived.number);
   limit_queue_.remove(request.arrived.number);
   if (request.charged_to_quota && request.attempts == 0 && !request.open) {
--- a/src/gateway/request_sending.cc
+++ b/src/gateway/request_sending.cc
@@ -112,8 +112,8 @@
   ProbeRound& round = request.probes;
   ++round.number;
   round.loads_received = 0;
-  for (const Backend* const backend :
-       traffic_.backends().Draw(request.service, request.tried, options.per_request, now)) {
+  for (const Backend* const backend : traffic_.backends().DrawForProbes(
+           request.service, request.tried, options.per_request, now)) {
     const traffic::InstanceReport& instance = backend->instance.report;
     round.asked.push_back(instance.id);
     effects_.actions.emplace_back(ProbeInstance{request.arrived.number, round.number, instance.id,
--- a/tests/gateway/feed_watch_test.cc
+++ b/tests/gateway/feed_watch_test.cc
@@ -34,7 +34,7 @@
     check_feed(watch, version, At(1'000 * second + 500));
   }
   cr_assert_eq(watch.tried, 0U);
-  cr_assert_not(watch.asks_leader);
+  cr_assert_not(watch.wants_state_from_leader);
 }
 
 Test(feed_watch, feed_that_is_late_is_given_up_until_the_state_is_here) {
@@ -45,9 +45,9 @@
   // The leader goes on meanwhile: that does not begin the wait anew.
   note_answer(watch, "f", 30, 10, At(500));
   check_feed(watch, 10, At(1'100));
-  cr_assert(watch.tried == 1 && watch.asks_leader);
+  cr_assert(watch.tried == 1 && watch.wants_state_from_leader);
   check_feed(watch, 20, At(1'600));
-  cr_assert(watch.tried == 1 && !watch.asks_leader);
+  cr_assert(watch.tried == 1 && !watch.wants_state_from_leader);
 }
 
 // The state of a large fleet takes seconds over a gateway's link while it grows. Another feed, and
--- a/tests/quota/quota_bound_test.cc
+++ b/tests/quota/quota_bound_test.cc
@@ -147,7 +147,7 @@
   tenant.quota = {20, 5};
   update.tenancy.tenants = {tenant};
   tenants.apply(update);
-  gate.follow(tenants);
+  gate.apply_quotas(tenants);
   const Instant start = InstantFromMicros(1'000'000'000);
   traffic::TrafficPoll poll;
   poll.sequence = 1;
--- a/tests/quota/quota_world.cc
+++ b/tests/quota/quota_world.cc
@@ -24,7 +24,7 @@
   ++gateway.life;
   gateway.gate = std::make_unique<gateway::QuotaGate>(
       RouterId{"g-" + std::to_string(&gateway - gateways_.data())});
-  gateway.gate->follow(Tenants());
+  gateway.gate->apply_quotas(Tenants());
   refused_ += gateway.waiting.size();
   gateway.waiting = {};
   gateway.arrived.clear();
@@ -46,7 +46,7 @@
 void QuotaWorld::SetQuota(traffic::TenantQuota quota) {
   options_.quota = quota;
   ++changed_at_;
-  for (Gateway& gateway : gateways_) gateway.gate->follow(Tenants());
+  for (Gateway& gateway : gateways_) gateway.gate->apply_quotas(Tenants());
 }
 
 double QuotaWorld::Allowed(const WorldOptions& options) {
