--- a/src/gateway/back_pressure_table.cc
+++ b/src/gateway/back_pressure_table.cc
@@ -42,8 +42,8 @@
   return found == m_entries.end() ? nullptr : &found->second;
 }
 
-auto BackPressureTable::take(traffic::InstanceId const& instance, BackPressure const& pressure,
-                             bool ran, Instant now) -> Changes {
+auto BackPressureTable::apply(traffic::InstanceId const& instance, BackPressure const& pressure,
+                              bool ran, Instant now) -> Changes {
   Changes changes;
   auto const states = pressure.limit_per_second || pressure.rest || pressure.leaving;
   if (!states && !m_entries.contains(instance)) return changes;
@@ -67,7 +67,7 @@
   return changes;
 }
 
-auto BackPressureTable::take(traffic::InstanceLimit const& limit, Instant now) -> Changes {
+auto BackPressureTable::apply(traffic::InstanceLimit const& limit, Instant now) -> Changes {
   Changes changes;
   auto const reported_at = now - std::chrono::milliseconds(limit.heard_ms_ago);
   auto const* const known = find(limit.instance);
--- a/src/gateway/back_pressure_table.h
+++ b/src/gateway/back_pressure_table.h
@@ -45,11 +45,11 @@
   /// Applies the back pressure of an answer.
   /// @param ran whether the request ran. A server that refuses a request may be too busy to report
   /// a limit, so only an answer to a request that ran ends a limit by leaving it out.
-  auto take(traffic::InstanceId const& instance, BackPressure const& pressure, bool ran,
-            Instant now) -> Changes;
+  auto apply(traffic::InstanceId const& instance, BackPressure const& pressure, bool ran,
+             Instant now) -> Changes;
   /// Applies a limit that another gateway received; ignored when not newer than the one stored
   /// here.
-  auto take(traffic::InstanceLimit const& limit, Instant now) -> Changes;
+  auto apply(traffic::InstanceLimit const& limit, Instant now) -> Changes;
   auto remove(traffic::InstanceId const& instance) -> void { m_entries.erase(instance); }
 
   /// Adds limits and back-off periods received since the last call to a poll.
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_watch.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-auto CrashWatch::take(std::vector<traffic::SuspectRequest> const& suspects) -> void {
+auto CrashWatch::set_suspects(std::vector<traffic::SuspectRequest> const& suspects) -> void {
   m_suspects.clear();
   for (auto const& suspect : suspects) m_suspects[suspect.digest] = suspect.Quarantined();
 }
--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -24,7 +24,7 @@
 class CrashWatch {
  public:
   /// Replaces the list of suspects.
-  auto take(std::vector<traffic::SuspectRequest> const& suspects) -> void;
+  auto set_suspects(std::vector<traffic::SuspectRequest> const& suspects) -> void;
   /// Whether servers crashed under this request so often that it is sent to none any more.
   auto is_quarantined(traffic::RequestDigest digest) const -> bool;
 
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -36,14 +36,14 @@
       quotas_(options_.id) {}
 
 GatewayEffects GatewayNode::OnUpdate(const traffic::TrafficUpdate& update, Instant now) {
-  const bool taken = traffic_.take(update, now);
-  if (taken && ChangesTenants(update)) quotas_.apply_quotas(traffic_.tenants());
+  const bool applied = traffic_.apply_update(update, now);
+  if (applied && ChangesTenants(update)) quotas_.apply_quotas(traffic_.tenants());
   if (update.sequence != 0) quotas_.take(update.quota, update.sequence, now);
   NoteConfirmation(update, now);
-  if (!taken) return Finish();
+  if (!applied) return Finish();
   Note({}, "update", {}, traffic_.describe(update));
   if (update.suspects) {
-    crashes_.take(*update.suspects);
+    crashes_.set_suspects(*update.suspects);
     RefuseQuarantined(now);
   }
   if (Ready()) AdmitUnrouted(now);
@@ -60,10 +60,10 @@
 
 GatewayEffects GatewayNode::OnHints(const traffic::TrafficHints& hints, Instant now) {
   traffic_.backends().ApplyHints(hints.instances, now);
-  hot_keys_.take(hints.hot_keys, now);
+  hot_keys_.update_hot_keys(hints.hot_keys, now);
   for (const traffic::InstanceLimit& limit : hints.limits) {
     if (traffic_.backends().Find(limit.instance) == nullptr) continue;
-    NoteChanges(traffic_.backends().pressure().take(limit, now));
+    NoteChanges(traffic_.backends().pressure().apply(limit, now));
   }
   for (const traffic::HotKey& hot : hints.hot_keys) RefuseExcess(hot, now);
   Note({}, "hints", {},
@@ -360,7 +360,7 @@
   const bool ran = report.end == AttemptEnd::kAnswered;
   if (!ran && report.end != AttemptEnd::kNotExecuted) return;
   if (report.not_owner || traffic_.backends().Find(instance) == nullptr) return;
-  NoteChanges(traffic_.backends().pressure().take(instance, report.pressure, ran, now));
+  NoteChanges(traffic_.backends().pressure().apply(instance, report.pressure, ran, now));
 }
 
 void GatewayNode::NoteChanges(const BackPressureTable::Changes& changes) {
--- a/src/gateway/hot_key_gate.cc
+++ b/src/gateway/hot_key_gate.cc
@@ -2,7 +2,8 @@
 
 namespace graniteseam::gateway {
 
-auto HotKeyGate::take(std::vector<traffic::HotKey> const& hot_keys, Instant now) -> void {
+auto HotKeyGate::update_hot_keys(std::vector<traffic::HotKey> const& hot_keys, Instant now)
+    -> void {
   std::uniform_real_distribution<double> initial_credit(0, 1);
   for (auto const& hot : hot_keys) {
     auto& gates = m_gates[hot.service];
--- a/src/gateway/hot_key_gate.h
+++ b/src/gateway/hot_key_gate.h
@@ -22,7 +22,7 @@
   explicit HotKeyGate(std::uint64_t seed) : m_random(seed) {}
 
   /// Applies control's report of hot keys and the part of their requests to admit.
-  auto take(std::vector<traffic::HotKey> const& hot_keys, Instant now) -> void;
+  auto update_hot_keys(std::vector<traffic::HotKey> const& hot_keys, Instant now) -> void;
 
   auto is_hot(ServiceName const& service, std::uint32_t key, Instant now) -> bool;
 
--- a/src/gateway/traffic_view.cc
+++ b/src/gateway/traffic_view.cc
@@ -8,7 +8,7 @@
                          std::uint64_t seed)
     : m_gateways_assumed(gateways_assumed), m_routes(seed), m_backends(std::move(backends), seed) {}
 
-auto TrafficView::take(traffic::TrafficUpdate const& update, Instant now) -> bool {
+auto TrafficView::apply_update(traffic::TrafficUpdate const& update, Instant now) -> bool {
   if (update.routers > 0) m_gateways = update.routers;
   m_backends.pressure().set_gateways(gateway_count());
   // Only the answer to a poll includes a place.
@@ -16,10 +16,10 @@
   if (names_place) m_backends.SetPlace({update.router_place, update.routers});
   if (update.sequence > 0) note_answer(update.version, now);
   auto const fits = update.base == 0 || update.base <= m_version;
-  auto const taken = update.version > m_version && fits;
-  if (taken) apply(update, now);
+  auto const applies = update.version > m_version && fits;
+  if (applies) apply(update, now);
   confirm_backends();
-  return taken;
+  return applies;
 }
 
 auto TrafficView::note_answer(std::uint64_t version, Instant now) -> void {
--- a/src/gateway/traffic_view.h
+++ b/src/gateway/traffic_view.h
@@ -25,7 +25,7 @@
   /// Applies an update that begins at or before this version and ends after it.
   /// @return false when the update does not fit and was ignored. After a gap, the next poll
   /// requests the missing changes.
-  auto take(traffic::TrafficUpdate const& update, Instant now) -> bool;
+  auto apply_update(traffic::TrafficUpdate const& update, Instant now) -> bool;
 
   /// Whether a configuration was ever received.
   auto is_ready() const -> bool { return m_configuration.value > 0; }
--- a/tests/gateway/back_pressure_table_test.cc
+++ b/tests/gateway/back_pressure_table_test.cc
@@ -30,7 +30,7 @@
   std::vector<BackPressureTable> tables;
   for (std::uint32_t seed = 1; seed <= gateways; ++seed) {
     tables.emplace_back(seed).set_gateways(gateways);
-    tables.back().take(kServer, Limit(limit), true, kStart);
+    tables.back().apply(kServer, Limit(limit), true, kStart);
   }
   std::vector<std::int64_t> sent;
   for (std::int64_t ms = 60'000; ms < 90'000; ms += 20) {
@@ -62,14 +62,14 @@
 
 Test(back_pressure_table, limit_ends_with_a_request_that_ran_and_was_answered_without_one) {
   BackPressureTable table(1);
-  table.take(kServer, Limit(5), true, At(0));
-  table.take(kServer, {}, false, At(10));
+  table.apply(kServer, Limit(5), true, At(0));
+  table.apply(kServer, {}, false, At(10));
   cr_assert(table.is_limited(kServer), "turned away");
   BackPressure unreadable;
   unreadable.unreadable = true;
-  table.take(kServer, unreadable, true, At(20));
+  table.apply(kServer, unreadable, true, At(20));
   cr_assert(table.is_limited(kServer), "it still states something");
-  const auto changes = table.take(kServer, {}, true, At(30));
+  const auto changes = table.apply(kServer, {}, true, At(30));
   cr_assert(!table.is_limited(kServer));
   cr_assert_eq(changes.size(), 1);
   cr_assert(changes.front().what == "limit_ended");
@@ -78,16 +78,16 @@
 /// Guards against gateways that hold to a limit whose end others heard.
 Test(back_pressure_table, word_that_any_gateway_heard_last_counts) {
   BackPressureTable table(1);
-  table.take(kServer, Limit(5), true, At(0));
-  table.take({kServer, 0, 2'000}, At(1'000));
+  table.apply(kServer, Limit(5), true, At(0));
+  table.apply({kServer, 0, 2'000}, At(1'000));
   cr_assert(table.is_limited(kServer), "an older word");
-  table.take({kServer, 0, 200}, At(1'000));
+  table.apply({kServer, 0, 200}, At(1'000));
   cr_assert(!table.is_limited(kServer));
 }
 
 Test(back_pressure_table, control_is_told_of_each_word_once) {
   BackPressureTable table(1);
-  table.take(kServer, Limit(5), true, At(0));
+  table.apply(kServer, Limit(5), true, At(0));
   const auto add_to_poll = [&](std::int64_t ms) {
     traffic::TrafficPoll poll;
     table.add_to_poll(poll, At(ms));
@@ -96,7 +96,7 @@
   cr_assert(table.has_unreported_changes());
   cr_assert_eq(add_to_poll(300).size(), 1);
   cr_assert(!table.has_unreported_changes() && add_to_poll(800).empty());
-  table.take(kServer, {}, true, At(900));
+  table.apply(kServer, {}, true, At(900));
   const auto told = add_to_poll(1'300);
   cr_assert_eq(told.size(), 1);
   cr_assert_eq(told.front().requests_per_second, 0);
@@ -108,16 +108,16 @@
   BackPressureTable table(1);
   BackPressure rest;
   rest.rest = std::chrono::seconds(3);
-  table.take(kServer, rest, false, At(0));
-  table.take(kServer, {}, true, At(100));
+  table.apply(kServer, rest, false, At(0));
+  table.apply(kServer, {}, true, At(100));
   rest.rest = std::chrono::seconds(1);
-  table.take(kServer, rest, false, At(200));
+  table.apply(kServer, rest, false, At(200));
   cr_assert(table.back_off_until(kServer) >= At(3'000));
   cr_assert(table.back_off_until(kServer) < At(3'100));
   BackPressure leaving;
   leaving.leaving = true;
-  table.take(kServer, leaving, true, At(300));
-  table.take(kServer, {}, true, At(400));
-  table.take(kServer, leaving, true, At(500));
+  table.apply(kServer, leaving, true, At(300));
+  table.apply(kServer, {}, true, At(400));
+  table.apply(kServer, leaving, true, At(500));
   cr_assert(table.leaving_since(kServer) == At(300));
 }
--- a/tests/gateway/crash_watch_test.cc
+++ b/tests/gateway/crash_watch_test.cc
@@ -68,7 +68,7 @@
 Test(crash_watch, answer_of_a_suspect_is_told_also_when_it_came_before_the_suspicion) {
   CrashWatch watch;
   watch.note_answered(kDigest, At(0));
-  watch.take({{kDigest, {{"i-1"}, {"i-2"}}, 5}});
+  watch.set_suspects({{kDigest, {{"i-1"}, {"i-2"}}, 5}});
   traffic::TrafficPoll poll;
   watch.add_to_poll(poll, At(300));
   cr_assert(poll.answered == (std::vector<traffic::AnsweredRequest>{{kDigest, 300}}));
--- a/tests/gateway/hot_key_gate_test.cc
+++ b/tests/gateway/hot_key_gate_test.cc
@@ -26,7 +26,7 @@
   int first_ones = 0;
   for (std::uint64_t seed = 0; seed < 300; ++seed) {
     HotKeyGate gate(seed);
-    gate.take(Hot(0.05).hot_keys, At(0));
+    gate.update_hot_keys(Hot(0.05).hot_keys, At(0));
     for (int request = 0; request < 10; ++request) {
       const bool admitted = gate.admits(kKeyed, kKey);
       let_in += admitted ? 1 : 0;
@@ -40,13 +40,13 @@
 Test(hot_key_gate, key_is_hot_until_it_is_told_otherwise_or_not_told_of_any_more) {
   HotKeyGate gate(1);
   cr_assert(!gate.is_hot(kKeyed, kKey, At(0)));
-  gate.take(Hot(0.1).hot_keys, At(0));
+  gate.update_hot_keys(Hot(0.1).hot_keys, At(0));
   cr_assert(gate.is_hot(kKeyed, kKey, At(1)));
   cr_assert(!gate.is_hot(kKeyed, kKey + 1, At(1)));
   cr_assert(!gate.is_hot({"other"}, kKey, At(1)));
-  gate.take(Hot(1).hot_keys, At(2));
+  gate.update_hot_keys(Hot(1).hot_keys, At(2));
   cr_assert(!gate.is_hot(kKeyed, kKey, At(3)));
-  gate.take(Hot(0.1).hot_keys, At(4));
+  gate.update_hot_keys(Hot(0.1).hot_keys, At(4));
   cr_assert(!gate.is_hot(kKeyed, kKey, At(4'000)));
 }
 
