--- a/src/gateway/backend_table.h
+++ b/src/gateway/backend_table.h
@@ -119,6 +119,7 @@
   /// Applies the latencies and failure rates that control aggregated over all gateways.
   void ApplyHints(const std::vector<traffic::InstanceHint>& hints, Instant now);
 
+  /// @return nullptr for an unknown instance; valid until the next Apply().
   const Backend* Find(const traffic::InstanceId& id) const;
   /// Whether a server has taken no new work, or announced its shutdown, for so long that it must
   /// get no more requests.
@@ -152,11 +153,13 @@
   /// The estimated number of requests at a server.
   double LoadOf(const Backend& backend, Instant now) const;
 
+  /// Records that a request was sent to a server, and uses up a token of its rate limit.
   void OnSent(const traffic::InstanceId& id, Instant now);
   /// Records the end of an attempt.
   /// @param taken from sending to the end.
   void OnEnded(const traffic::InstanceId& id, const AttemptReport& report, Duration taken,
                Instant now);
+  /// Records that this gateway stopped waiting for an attempt, without a sample of its latency.
   void OnAbandoned(const traffic::InstanceId& id);
 
   /// Why this gateway may not send a server a request now because of the server's back pressure;
--- a/src/gateway/hot_key_gate.h
+++ b/src/gateway/hot_key_gate.h
@@ -24,6 +24,7 @@
   /// Applies control's report of hot keys and the part of their requests to admit.
   auto update_hot_keys(std::vector<traffic::HotKey> const& hot_keys, Instant now) -> void;
 
+  /// Whether control recently reported that only a part of a key's requests may be admitted.
   auto is_hot(ServiceName const& service, std::uint32_t key, Instant now) -> bool;
 
   /// Whether to admit the next request for a hot key; is_hot() must have returned true for it.
--- a/src/gateway/key_map.h
+++ b/src/gateway/key_map.h
@@ -25,6 +25,7 @@
   /// date. The owner gets no request for the range before `until`, unless an update changes the
   /// range.
   void MarkOwnerStale(const traffic::KeyRange& range, Instant until);
+  /// Whether MarkOwnerStale() applies to the range now, in its current fence.
   bool IsOwnerStale(const traffic::KeyRange& range, Instant now) const;
 
  private:
--- a/src/gateway/limit_queue.h
+++ b/src/gateway/limit_queue.h
@@ -21,6 +21,7 @@
 
   /// Adds a request; adding it again has no effect.
   auto add(traffic::InstanceId const& instance, RequestNumber request) -> void;
+  /// Removes a request; without effect when it does not wait.
   auto remove(RequestNumber request) -> void;
 
   /// Returns the number of tokens to request for each instance, and marks all waiting requests as
--- a/src/gateway/live_requests.h
+++ b/src/gateway/live_requests.h
@@ -32,6 +32,7 @@
   auto set_timer(LiveRequest& request, Instant at) -> void;
   /// Clears the timer of a due request and returns the request; null when none is due.
   auto take_due(Instant now) -> LiveRequest*;
+  /// The earliest timer; Instant::max() when none is set.
   auto next_timer() const -> Instant;
 
   auto enqueue(LiveRequest& request) -> void;
@@ -44,8 +45,10 @@
 
   /// Adds a request that was read before the first configuration.
   auto add_unrouted(LiveRequest const& request) -> void;
+  /// Whether a request still waits for the first configuration.
   auto is_unrouted(LiveRequest const& request) const -> bool;
   auto unrouted_size() const -> std::size_t { return m_unrouted.size(); }
+  /// Returns the requests that wait for the first configuration, and clears their list.
   auto take_unrouted() -> std::set<RequestNumber> { return std::exchange(m_unrouted, {}); }
 
  private:
--- a/src/gateway/shared_retry_budget.h
+++ b/src/gateway/shared_retry_budget.h
@@ -26,6 +26,7 @@
  public:
   explicit SharedRetryBudget(const RetryBudgetLimits& limits) : limits_(limits) {}
 
+  /// Counts a request's first attempt, which increases the budget.
   void CountRequest(Instant now);
 
   /// Charges one retry to the budget.
--- a/src/gateway/tenant_table.h
+++ b/src/gateway/tenant_table.h
@@ -21,6 +21,7 @@
   /// Whether requests need an API key. If so, keys are for gateways only and are hidden from
   /// servers.
   auto keys_required() const -> bool { return m_keys_required; }
+  /// Whether a route admits requests without a known API key.
   auto is_anonymous(traffic::RouteName const& route) const -> bool;
 
   /// @return the tenant that holds a key, null when there is none; valid until the next apply().
--- a/src/gateway/token_queue.h
+++ b/src/gateway/token_queue.h
@@ -16,6 +16,7 @@
 class TokenQueue {
  public:
   auto add(traffic::TenantName const& tenant, RequestNumber request) -> void;
+  /// Removes a request; without effect when it does not wait.
   auto remove(traffic::TenantName const& tenant, RequestNumber request) -> void;
   auto contains(RequestNumber request) const -> bool { return m_waiting.contains(request); }
 
--- a/src/gateway/warm_up_gate.h
+++ b/src/gateway/warm_up_gate.h
@@ -37,6 +37,7 @@
   /// its place is unknown.
   auto admits(traffic::InstanceId const& instance, Instant now) const -> bool;
 
+  /// Records a request that was sent to a warming-up instance.
   auto note_sent(traffic::InstanceId const& instance, Instant now) -> void;
 
  private:
