--- a/src/admission/allotter.cc
+++ b/src/admission/allotter.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// Claimant indices by rising demand per weight: the order in which water-filling satisfies them.
-std::vector<std::size_t> ByDemandPerWeight(const std::vector<Claimant>& claimants) {
+std::vector<std::size_t> OrderByDemandPerWeight(const std::vector<Claimant>& claimants) {
   std::vector<std::size_t> order(claimants.size());
   std::iota(order.begin(), order.end(), 0);
   std::stable_sort(order.begin(), order.end(), [&](std::size_t left, std::size_t right) {
@@ -27,7 +27,7 @@
   double weight_left = 0.0;
   for (const Claimant& claimant : claimants) weight_left += claimant.weight;
   double capacity_left = std::max(0.0, capacity);
-  for (const std::size_t index : ByDemandPerWeight(claimants)) {
+  for (const std::size_t index : OrderByDemandPerWeight(claimants)) {
     const Claimant& claimant = claimants[index];
     const double fair = weight_left > 0.0 ? capacity_left * claimant.weight / weight_left : 0.0;
     parts[index] = std::min(claimant.demand, fair);
@@ -51,7 +51,7 @@
   stale_ = true;
 }
 
-void Allotter::KeepOnly(const std::vector<ServiceName>& services) {
+void Allotter::RetainServices(const std::vector<ServiceName>& services) {
   std::erase_if(services_, [&](const auto& entry) {
     return std::find(services.begin(), services.end(), entry.first) == services.end();
   });
@@ -73,7 +73,7 @@
   if (!known) stale_ = true;
 }
 
-void Allotter::Forget(const RouterId& router) {
+void Allotter::RemoveRouter(const RouterId& router) {
   reports_.erase(router);
   allotments_.erase(router);
   stale_ = true;
@@ -101,8 +101,8 @@
   stale_ = false;
 }
 
-/// The sum of what routers found out, at most the limit set. A router that reports no capacity of a
-/// service knows nothing against the limit.
+/// The sum of the capacities that routers measured, at most the configured limit. If a router
+/// reports no capacity for the service, the configured limit applies.
 double Allotter::Capacity(const ServiceName& service, const ServiceShares& shares) const {
   double sum = 0.0;
   for (const auto& [router, report] : reports_) {
@@ -119,16 +119,16 @@
   if (by_group == report.wanted.end()) return 0.0;
   const auto wanted = by_group->second.find(group);
   if (wanted == by_group->second.end()) return 0.0;
-  // A mean held to itself is over half of the time too little: small counts vary by their root
-  // (square-root staffing; Halfin and Whitt 1981).
+  // Capacity equal to the mean demand is too little more than half of the time: small counts vary
+  // by their square root (square-root staffing; Halfin and Whitt 1981).
   const double mean = wanted->second;
   return std::max(mean * options_.growth_headroom,
                   mean + options_.burst_deviations * std::sqrt(mean));
 }
 
-/// Two levels: the capacity among groups by weight, then each group's part among routers. What no
-/// group wants is lent: spread by weight and evenly over routers, so that a burst needs no new
-/// report.
+/// Divides at two levels: the capacity among groups by weight, then each group's part among
+/// routers. Capacity that no group demands is lent, by weight and evenly over routers, so that a
+/// burst needs no new report.
 void Allotter::DivideService(const ServiceName& service, const ServiceShares& shares) {
   std::vector<Claimant> group_claims;
   double weight_sum = 0.0;
--- a/src/control/router_sessions.cc
+++ b/src/control/router_sessions.cc
@@ -21,7 +21,7 @@
   answer.sequence = renewal.sequence;
   if (renewal.leaving) {
     sessions_.erase(renewal.router);
-    allotter_.Forget(renewal.router);
+    allotter_.RemoveRouter(renewal.router);
     return answer;
   }
   Session& session = sessions_[renewal.router];
@@ -129,7 +129,7 @@
     allotter_.SetGroups(service.name, std::move(groups));
     allotter_.SetCapacity(service.name, servers[service.name] * service.concurrency_per_server);
   }
-  allotter_.KeepOnly(names);
+  allotter_.RetainServices(names);
 }
 
 std::vector<ProcessVersion> RouterSessions::Versions(Instant now) const {
--- a/src/gateway/backend_table.cc
+++ b/src/gateway/backend_table.cc
@@ -10,40 +10,41 @@
 namespace graniteseam::gateway {
 namespace {
 
-/// Weight of the newest latency.
+/// Weight of the newest sample in the mean latency.
 constexpr double kNewestLatency = 0.15;
-/// Weights of the newest answer in what part of them fails. A failure says more than a success: a
-/// sound server fails one in a thousand.
+/// Weights of the newest answer in the mean failure rate. A failure is stronger evidence than a
+/// success: a healthy server fails one request in a thousand.
 constexpr double kNewestFailure = 0.5;
 constexpr double kNewestSuccess = 0.2;
-/// A request's end at its deadline tells of the queue that it stood in, not of the server.
+/// A request that ends at its deadline shows the state of its queue, not of the server.
 constexpr int kDeadlineStatus = 504;
 constexpr int kFirstFailureStatus = 500;
-/// Servers that are about as good are chosen among at random, so that gateways which know the same
-/// don't all choose the same.
+/// Servers with similar expected latency are chosen at random, so that gateways with the same
+/// information do not all choose the same server.
 constexpr double kJitter = 0.15;
-/// Draws for a server that is not known to be full.
+/// Draws before the least loaded of the drawn servers is taken although it may be full.
 constexpr int kDraws = 3;
-/// Requests for each slot at the own zone's servers from which on other zones' are drawn too.
-constexpr double kZoneIsFull = 1.5;
-/// No server is drawn for more than this multiple of the mean speed: a low mean time may stand on
-/// few answers.
-constexpr double kFastest = 2.0;
-/// How long this gateway counts its requests before it says how often it meets a server.
-constexpr Duration kVisitsCounted{3'000'000};
-/// Weight of the newest word in the occupancy of a zone's servers, and how long it is remembered.
+/// Requests per slot at the own zone's servers from which on servers of other zones are drawn too.
+constexpr double kZoneFullOccupancy = 1.5;
+/// Upper bound of a server's assumed speed, as a multiple of the mean: a low mean latency may rest
+/// on few answers.
+constexpr double kSpeedMaximum = 2.0;
+/// How long this gateway counts its requests before the count decides how servers are chosen.
+constexpr Duration kVisitsCountedMinimum{3'000'000};
+/// Weight of the newest load report in the occupancy of a zone's servers, and the time constant
+/// with which the occupancy decays.
 constexpr double kNewestOccupancy = 0.2;
 constexpr Duration kOccupancyMemory{3'000'000};
-/// By which servers tell that work takes as long as usual.
+/// The work time that servers report when work takes as long as usual.
 constexpr double kUsualPercent = 100;
-/// Weight of the newest request in the usual time of a service.
+/// Weight of the newest request in the usual latency of a service.
 constexpr double kNewestUsual = 0.02;
-/// A word of a server's load that is older tells nothing of the moment.
-constexpr Duration kWordIsFresh{100'000};
-/// Of the limit that a server of a pool names, the part that all gateways send it.
+/// An older load report does not describe the current load.
+constexpr Duration kLoadReportMaxAge{100'000};
+/// The part of a pool server's limit that all gateways together send on their own tokens.
 constexpr double kOwnPartOfLimit = 0.5;
-/// Below this part failing servers are drawn still, so that it is found out when they are sound.
-constexpr double kSoundMinimum = 0.05;
+/// Lower bound of the weight of failing servers in a draw, so that their recovery is detected.
+constexpr double kHealthyPartMinimum = 0.05;
 
 double Micros(Duration duration) { return static_cast<double>(duration.count()); }
 
@@ -80,12 +81,12 @@
     if (old != before.end()) backend = old->second;
     const bool drains_now = !fresh && backend.instance.TakesNewWork() && !instance.TakesNewWork();
     if (drains_now) backend.drained_since = confirmed_at_;
-    FollowWarmUp(backend, instance, fresh, now);
+    UpdateWarmUp(backend, instance, fresh, now);
     backend.instance = instance;
     if (fresh) backend.latency_us = Micros(options_.first_latency);
   }
   for (const auto& [id, backend] : before) {
-    if (!backends_.contains(id)) pressure_.forget(id);
+    if (!backends_.contains(id)) pressure_.remove(id);
   }
 }
 
@@ -110,18 +111,18 @@
   if (found == backends_.end()) return;
   Unlist(found->second);
   backends_.erase(found);
-  pressure_.forget(id);
+  pressure_.remove(id);
 }
 
-void BackendTable::FollowWarmUp(Backend& backend, const traffic::Instance& next, bool fresh,
+void BackendTable::UpdateWarmUp(Backend& backend, const traffic::Instance& next, bool fresh,
                                 Instant now) {
   const bool drained = backend.instance.state == traffic::InstanceState::kZoneDrained;
   const bool taken_back = !fresh && drained && next.TakesNewWork();
   if (taken_back) backend.warm_at_earliest = now + options_.taken_back_warm_up;
-  const bool news = fresh || taken_back || next.WarmsUp() != backend.instance.WarmsUp();
-  if (!news) return;
-  const Instant told = now + std::chrono::milliseconds(next.report.warmup_left_ms);
-  backend.warm_at = std::max(told, backend.warm_at_earliest);
+  const bool changed = fresh || taken_back || next.WarmsUp() != backend.instance.WarmsUp();
+  if (!changed) return;
+  const Instant reported_warm_at = now + std::chrono::milliseconds(next.report.warmup_left_ms);
+  backend.warm_at = std::max(reported_warm_at, backend.warm_at_earliest);
 }
 
 bool BackendTable::WarmUpAdmits(const Backend& backend, Instant now) const {
@@ -147,13 +148,14 @@
   return backend.in_flight < ConnectionShare(backend.instance.report.service);
 }
 
-std::optional<RefusalReason> BackendTable::Bar(const Backend& backend, Instant now) const {
+std::optional<RefusalReason> BackendTable::SendBlockReason(const Backend& backend,
+                                                           Instant now) const {
   const traffic::InstanceId& id = backend.instance.report.id;
-  if (!pressure_.knows(id)) return std::nullopt;
-  // The owner of a key has no others that could take its requests.
+  if (!pressure_.contains(id)) return std::nullopt;
+  // The requests of a key's owner can go to no other server.
   const bool keyed = keyed_.contains(backend.instance.report.service);
-  if (now < pressure_.rests_until(id)) return RefusalReason::kResting;
-  if (keyed ? LeftForLong(id, now) : pressure_.leaving_since(id).has_value()) {
+  if (now < pressure_.back_off_until(id)) return RefusalReason::kResting;
+  if (keyed ? LeavingPastAllowance(id, now) : pressure_.leaving_since(id).has_value()) {
     return RefusalReason::kNoServer;
   }
   if (!pressure_.is_limited(id) || pressure_.has_token(id)) return std::nullopt;
@@ -161,7 +163,7 @@
   return own_token ? std::nullopt : std::optional(RefusalReason::kLimited);
 }
 
-bool BackendTable::LeftForLong(const traffic::InstanceId& id, Instant now) const {
+bool BackendTable::LeavingPastAllowance(const traffic::InstanceId& id, Instant now) const {
   const auto since = pressure_.leaving_since(id);
   return since && now - *since >= options_.drain_allowance;
 }
@@ -171,19 +173,19 @@
   return found == backends_.end() ? nullptr : &found->second;
 }
 
-bool BackendTable::DrainedForLong(const Backend& backend, Instant now) const {
-  if (LeftForLong(backend.instance.report.id, now)) return true;
+bool BackendTable::DrainAllowanceElapsed(const Backend& backend, Instant now) const {
+  if (LeavingPastAllowance(backend.instance.report.id, now)) return true;
   const bool zone = backend.instance.state == traffic::InstanceState::kZoneDrained;
   const Duration allowance = zone ? options_.zone_drain_allowance : options_.drain_allowance;
   return !backend.instance.TakesNewWork() && now - backend.drained_since >= allowance;
 }
 
 double BackendTable::LoadOf(const Backend& backend, Instant now) const {
-  // Other gateways' requests end like this one's: their reported number decays with the time that
-  // one takes.
-  const double age = Micros(now - backend.others_at);
+  // Other gateways' requests end at the rate of this one's: their reported number decays with the
+  // latency of a request.
+  const double age = Micros(now - backend.load_reported_at);
   const double fading = std::exp(-age / std::max(1.0, 2 * backend.latency_us));
-  return backend.in_flight + backend.others * fading;
+  return backend.in_flight + backend.others_in_flight * fading;
 }
 
 double BackendTable::OccupancyOf(const ServiceZone& place, Instant now) const {
@@ -238,12 +240,13 @@
   if (ids == services_.end()) return choice;
   const Backend* best_ejected = nullptr;
   const std::uint32_t share = ConnectionShare(service);
-  const Backend* full = nullptr;  // Where this gateway has all the connections that it may have.
+  // A server at which this gateway has used its share of connections.
+  const Backend* full = nullptr;
   for (const traffic::InstanceId& id : ids->second) {
     const Backend& backend = backends_.at(id);
     const bool was_tried = std::find(tried.begin(), tried.end(), id) != tried.end();
     if (!backend.instance.TakesNewWork() || was_tried) continue;
-    if (!WarmUpAdmits(backend, now) || Bar(backend, now)) continue;
+    if (!WarmUpAdmits(backend, now) || SendBlockReason(backend, now)) continue;
     if (now < backend.ejected_until) {
       const bool sooner =
           best_ejected == nullptr || backend.ejected_until < best_ejected->ejected_until;
@@ -256,7 +259,7 @@
     }
     const bool is_rare =
         pressure_.is_limited(id) || (warm_ups_.is_bounded() && WarmsUp(backend, now));
-    if (is_rare) choice.rare = &backend;
+    if (is_rare) choice.scarce = &backend;
     choice.usable.push_back(&backend);
   }
   choice.last_resort = full == nullptr ? best_ejected : full;
@@ -267,19 +270,19 @@
                                     const std::vector<traffic::InstanceId>& tried, Duration target,
                                     Instant now) {
   const Choice choice = ChoiceOf(service, tried, now);
-  // The few requests that it bears would be lost if they had to wait for chance to draw it.
-  if (choice.rare != nullptr) return choice.rare;
+  // Such a server accepts few requests; they would be lost if it had to be drawn at random.
+  if (choice.scarce != nullptr) return choice.scarce;
   if (choice.usable.empty()) return choice.last_resort;
-  return KnowsServers(service, services_.at(service).size(), now)
-             ? Shortest(choice.usable, target, now)
+  return HasEnoughSamples(service, services_.at(service).size(), now)
+             ? ShortestWait(choice.usable, target, now)
              : DrawWithRoom(choice.usable, now);
 }
 
-BackendTable::Backends BackendTable::Draw(const ServiceName& service,
-                                          const std::vector<traffic::InstanceId>& tried,
-                                          std::size_t count, Instant now) {
+BackendTable::Backends BackendTable::DrawForProbes(const ServiceName& service,
+                                                   const std::vector<traffic::InstanceId>& tried,
+                                                   std::size_t count, Instant now) {
   const Choice choice = ChoiceOf(service, tried, now);
-  if (choice.rare != nullptr) return {};
+  if (choice.scarce != nullptr) return {};
   Backends near;
   Backends far;
   for (const Backend* const backend : choice.usable) {
@@ -289,21 +292,21 @@
   while (drawn.size() < count && !(near.empty() && far.empty())) {
     const bool last = drawn.size() + 1 == count;
     Backends& from = near.empty() || (last && !far.empty()) ? far : near;
-    drawn.push_back(DrawOne(from, now));
+    drawn.push_back(DrawBySpeed(from, now));
     std::erase(from, drawn.back());
   }
   return drawn.size() < 2 ? Backends{} : drawn;
 }
 
-const Backend* BackendTable::Soonest(const std::vector<traffic::InstanceId>& asked, Duration target,
-                                     Instant now) const {
+const Backend* BackendTable::FastestProbed(const std::vector<traffic::InstanceId>& asked,
+                                           Duration target, Instant now) const {
   const Backend* best = nullptr;
   double least = 0;
   for (const traffic::InstanceId& id : asked) {
     const Backend* const backend = Find(id);
-    if (backend == nullptr || now - backend->others_at > kWordIsFresh) continue;
+    if (backend == nullptr || now - backend->load_reported_at > kLoadReportMaxAge) continue;
     if (!backend->instance.TakesNewWork() || !HasConnectionLeft(*backend)) continue;
-    if (!WarmUpAdmits(*backend, now) || Bar(*backend, now)) continue;
+    if (!WarmUpAdmits(*backend, now) || SendBlockReason(*backend, now)) continue;
     if (LoadOf(*backend, now) >= SlotsOf(*backend) * (1.0 + options_.waiting_maximum)) continue;
     const double time = CompletionMicros(*backend, target, now);
     if (best != nullptr && time >= least) continue;
@@ -322,7 +325,7 @@
 }
 
 void BackendTable::NoteUsualTime(const Backend& backend, Duration taken, Instant now) {
-  if (!backend.work_percent || now - backend.others_at > taken + kWordIsFresh) return;
+  if (!backend.work_percent || now - backend.load_reported_at > taken + kLoadReportMaxAge) return;
   const double sample = Micros(taken) * kUsualPercent / *backend.work_percent;
   const auto [known, fresh] = usual_us_.try_emplace(backend.instance.report.service, sample);
   if (!fresh) known->second += kNewestUsual * (sample - known->second);
@@ -333,23 +336,23 @@
   if (found == backends_.end()) return;
   Backend& backend = found->second;
   if (report.other_instance) return Fail(backend, now);
-  if (report.load) TakeLoad(backend, *report.load, now);
+  if (report.load) ApplyLoad(backend, *report.load, now);
   if (report.warm_up_left) backend.warm_at = std::max(backend.warm_at, now + *report.warm_up_left);
 }
 
-bool BackendTable::KnowsServers(const ServiceName& service, std::size_t servers,
-                                Instant now) const {
+bool BackendTable::HasEnoughSamples(const ServiceName& service, std::size_t servers,
+                                    Instant now) const {
   const auto found = visits_.find(service);
-  if (found == visits_.end() || now - found->second.since < kVisitsCounted) return true;
+  if (found == visits_.end() || now - found->second.since < kVisitsCountedMinimum) return true;
   const Visits& visits = found->second;
   const double memory = Micros(options_.visits_memory);
-  const double lately = visits.fading * std::exp(-Micros(now - visits.at) / memory);
-  // What a count that has only begun is short of.
+  const double recent = visits.fading * std::exp(-Micros(now - visits.at) / memory);
+  // Corrects for the period before the count began.
   const double counted = 1 - std::exp(-Micros(now - visits.since) / memory);
-  return lately >= options_.visits_to_know * counted * static_cast<double>(servers);
+  return recent >= options_.visits_to_know * counted * static_cast<double>(servers);
 }
 
-const Backend* BackendTable::Shortest(const Backends& usable, Duration target, Instant now) {
+const Backend* BackendTable::ShortestWait(const Backends& usable, Duration target, Instant now) {
   std::uniform_real_distribution<double> jitter(1.0, 1.0 + kJitter);
   const Backend* best = nullptr;
   double least = 0;
@@ -368,10 +371,10 @@
     return backend->instance.report.zone == options_.zone;
   });
   const ServiceZone place{usable.front()->instance.report.service, options_.zone};
-  const bool full = near.empty() || OccupancyOf(place, now) >= kZoneIsFull;
+  const bool full = near.empty() || OccupancyOf(place, now) >= kZoneFullOccupancy;
   const Backend* best = nullptr;
   for (int draw = 0; draw < kDraws; ++draw) {
-    const Backend* const drawn = DrawOne(full ? usable : near, now);
+    const Backend* const drawn = DrawBySpeed(full ? usable : near, now);
     if (LoadOf(*drawn, now) < SlotsOf(*drawn)) return drawn;
     const bool better = best == nullptr || LoadOf(*drawn, now) < LoadOf(*best, now);
     if (better) best = drawn;
@@ -384,7 +387,7 @@
   return backend.latency_known ? std::optional(backend.latency_us) : std::nullopt;
 }
 
-const Backend* BackendTable::DrawOne(const Backends& backends, Instant now) {
+const Backend* BackendTable::DrawBySpeed(const Backends& backends, Instant now) {
   double known = 0;
   double latencies = 0;
   for (const Backend* const backend : backends) {
@@ -393,14 +396,14 @@
     known += 1;
     latencies += *latency;
   }
-  // Of a server that nobody has met nothing speaks for another speed than that of the others.
+  // A server without latency samples is assumed to have the mean latency of the others.
   const double mean = known > 0 ? std::max(1.0, latencies / known) : 1.0;
   std::vector<double> sums;
   double sum = 0;
   for (const Backend* const backend : backends) {
     const double cold = WarmsUp(*backend, now) ? options_.cold_factor : 1.0;
-    const double sound = std::max(kSoundMinimum, 1 - FailingPart(*backend, now));
-    const double latency = std::max(mean / kFastest, LatencyToDrawBy(*backend).value_or(mean));
+    const double sound = std::max(kHealthyPartMinimum, 1 - FailingPart(*backend, now));
+    const double latency = std::max(mean / kSpeedMaximum, LatencyToDrawBy(*backend).value_or(mean));
     sum += SlotsOf(*backend) * sound / (cold * latency);
     sums.push_back(sum);
   }
@@ -422,12 +425,13 @@
   visits.at = now;
 }
 
-void BackendTable::TakeHints(const std::vector<traffic::InstanceHint>& hints, Instant now) {
+void BackendTable::ApplyHints(const std::vector<traffic::InstanceHint>& hints, Instant now) {
   for (const traffic::InstanceHint& hint : hints) {
     const auto found = backends_.find(hint.instance);
     if (found == backends_.end()) continue;
     Backend& backend = found->second;
-    // Only draws go by it: by the same hints the shortest wait would be the same server's for all.
+    // Used for draws only: if ShortestWait() used the same hints, all gateways would choose the
+    // same server.
     if (hint.latency_us > 0) backend.hinted_latency_us = hint.latency_us;
     constexpr double kPercent = 100;
     backend.failing = std::max(FailingPart(backend, now), hint.failing_percent / kPercent);
@@ -448,7 +452,7 @@
   Backend& backend = found->second;
   const bool was_waiting = LoadOf(backend, now) + 1 > SlotsOf(backend);
   if (report.end == AttemptEnd::kAnswered) NoteUsualTime(backend, taken, now);
-  if (report.load) TakeLoad(backend, *report.load, now);
+  if (report.load) ApplyLoad(backend, *report.load, now);
   if (Unreached(backend, report)) {
     ++backend.speed.unreached;
     Fail(backend, now);
@@ -463,13 +467,13 @@
   backend.ejection = {};
   backend.ejected_until = {};
   backend.paused_until = {};
-  // What fails may fail in no time, and must not pass for fast.
+  // A failing server may fail at once; its latency must not count as fast.
   if (failed) return;
   if (!was_waiting) {
     ++backend.speed.answers;
     backend.speed.busy_us += static_cast<std::uint64_t>(taken.count());
   }
-  // A request that waited tells of the queue, not of the server.
+  // The latency of a request that waited includes its queueing time.
   const double sample = Micros(taken) / (was_waiting ? 1.5 : 1.0);
   const double weight = backend.latency_known ? kNewestLatency : 0.5;
   backend.latency_us += weight * (sample - backend.latency_us);
@@ -478,7 +482,7 @@
 
 bool BackendTable::Unreached(const Backend& backend, const AttemptReport& report) const {
   if (report.end == AttemptEnd::kNotSent || report.end == AttemptEnd::kLost) return true;
-  // Of a pool's server that is to say that another process has its address.
+  // For a pool server it means that another process has taken its address.
   return report.not_owner && !keyed_.contains(backend.instance.report.service);
 }
 
@@ -494,21 +498,21 @@
   return speeds;
 }
 
-void BackendTable::TakeLoad(Backend& backend, const ReportedLoad& load, Instant now) {
+void BackendTable::ApplyLoad(Backend& backend, const ReportedLoad& load, Instant now) {
   const ServiceZone place{backend.instance.report.service, backend.instance.report.zone};
   Occupancy& occupancy = occupancies_[place];
-  const double word = (load.running + load.waiting) / std::max(1.0, load.slots);
-  occupancy.mean += kNewestOccupancy * (word - occupancy.mean);
+  const double reported = (load.running + load.waiting) / std::max(1.0, load.slots);
+  occupancy.mean += kNewestOccupancy * (reported - occupancy.mean);
   occupancy.at = now;
-  backend.others = std::max(0.0, load.running + load.waiting - backend.in_flight);
-  backend.others_at = now;
+  backend.others_in_flight = std::max(0.0, load.running + load.waiting - backend.in_flight);
+  backend.load_reported_at = now;
   backend.work_percent = load.work_percent;
   if (load.slots > 0) backend.instance.report.slots = std::llround(load.slots);
 }
 
-/// Full servers reset connections. All gateways that ask one owner must together ask no more than
-/// it can do, without knowing of each other: each leaves it alone for longer the more it fails, and
-/// for a span of its own.
+/// Full servers reset connections. All gateways that send to one owner must together stay within
+/// its capacity without coordination: each pauses for longer the more attempts fail, with a random
+/// spread.
 void BackendTable::Fail(Backend& backend, Instant now) {
   ++backend.failures;
   if (backend.failures < options_.failures_to_eject) return;
@@ -526,10 +530,11 @@
 
 std::string BackendTable::Describe(const Backend& backend, Instant now) const {
   char text[160];
-  const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - backend.others_at);
-  std::snprintf(text, sizeof(text), "load %.1f of %.0f, word %lld ms old, latency %.0f ms%s",
+  const auto age =
+      std::chrono::duration_cast<std::chrono::milliseconds>(now - backend.load_reported_at);
+  std::snprintf(text, sizeof(text), "load %.1f of %.0f, reported %lld ms ago, latency %.0f ms%s",
                 LoadOf(backend, now), SlotsOf(backend),
-                backend.others_at == Instant{} ? -1LL : static_cast<long long>(age.count()),
+                backend.load_reported_at == Instant{} ? -1LL : static_cast<long long>(age.count()),
                 backend.latency_us / 1000, WarmsUp(backend, now) ? ", warms up" : "");
   std::string described = text;
   if (!backend.work_percent) return described;
--- a/src/gateway/limit_queue.cc
+++ b/src/gateway/limit_queue.cc
@@ -4,13 +4,13 @@
 
 auto LimitQueue::add(traffic::InstanceId const& instance, RequestNumber request) -> void {
   auto& waiting = m_waiting[request];
-  // The key may have gone to another owner meanwhile.
+  // The key may have moved to another owner meanwhile.
   if (waiting.instance != instance) waiting = {instance, false};
 }
 
 auto LimitQueue::remove(RequestNumber request) -> void { m_waiting.erase(request); }
 
-auto LimitQueue::ask() -> std::vector<Wanted> {
+auto LimitQueue::take_wanted() -> std::vector<Wanted> {
   std::map<traffic::InstanceId, std::uint32_t> counts;
   for (auto& [request, waiting] : m_waiting) {
     waiting.asked = true;
@@ -22,7 +22,7 @@
   return wanted;
 }
 
-auto LimitQueue::asked_for(traffic::InstanceId const& instance) const
+auto LimitQueue::requested_for(traffic::InstanceId const& instance) const
     -> std::vector<RequestNumber> {
   std::vector<RequestNumber> requests;
   for (auto const& [request, waiting] : m_waiting) {
--- a/src/gateway/request_ending.cc
+++ b/src/gateway/request_ending.cc
@@ -1,4 +1,4 @@
-// What follows the end of an attempt: the request is answered, sent again or refused.
+// The end of an attempt and of a request: answer, retry or refusal.
 #include <string>
 
 #include "graniteseam/common/duration_text.h"
@@ -10,16 +10,16 @@
 namespace graniteseam::gateway {
 namespace {
 
-/// Between two looks at a key whose owner refused it.
+/// Interval between two tries for a key whose owner refused it.
 constexpr Duration kOwnerRetry{30'000};
-/// How long an owner that said it is none is left alone.
-constexpr Duration kDisowned{400'000};
+/// How long an owner that replied that it does not own the range gets no request for it.
+constexpr Duration kStaleOwnerPeriod{400'000};
 
 std::string AfterMs(Duration taken) { return ", after " + InMs(taken); }
 
 }  // namespace
 
-void GatewayNode::TakeEnd(LiveRequest& request, const AttemptReport& report, Instant now) {
+void GatewayNode::HandleAttemptEnd(LiveRequest& request, const AttemptReport& report, Instant now) {
   const OpenAttempt ended = *request.open;
   request.open.reset();
   if (report.end == AttemptEnd::kNotSent) {
@@ -27,7 +27,7 @@
     ++request.unsent;
   }
   request.may_have_run = request.may_have_run || may_have_run(report.end);
-  NoteForCrashes(request, report, ended, now);
+  RecordForCrashTracking(request, report, ended, now);
   if (is_final_answer(report)) return Relay(request);
   Note(request.arrived.number, "attempt_failed", ended.instance,
        "end " + std::string(EndName(report.end)) + ", status " + std::to_string(report.status) +
@@ -35,8 +35,8 @@
   RetryOrEnd(request, report, now);
 }
 
-void GatewayNode::NoteForCrashes(const LiveRequest& request, const AttemptReport& report,
-                                 const OpenAttempt& ended, Instant now) {
+void GatewayNode::RecordForCrashTracking(const LiveRequest& request, const AttemptReport& report,
+                                         const OpenAttempt& ended, Instant now) {
   const traffic::RequestDigest digest = request.arrived.digest;
   if (report.end == AttemptEnd::kLost) {
     crashes_.note_lost(digest, ended.instance, ended.sent_at, now);
@@ -49,25 +49,26 @@
   const bool keyed = traffic_.is_keyed(request.service);
   const traffic::KeyRange* const range =
       keyed ? traffic_.keys().Find(request.service, *request.arrived.key) : nullptr;
-  if (report.not_owner && range != nullptr) traffic_.keys().Disown(*range, now + kDisowned);
+  if (report.not_owner && range != nullptr)
+    traffic_.keys().MarkOwnerStale(*range, now + kStaleOwnerPeriod);
   if (crashes_.is_quarantined(request.arrived.digest)) {
     return End(request, RefusalReason::kQuarantined, now);
   }
-  // The key has no other server; a retry that can't be sent must not use up the budget.
-  if (range != nullptr && RestsForLong(request, range->owner)) {
+  // The key has no other server, and a retry that cannot be sent must not use up the budget.
+  if (range != nullptr && BacksOffPastHold(request, range->owner)) {
     if (may_be_relayed(report)) return Relay(request);
-    request.server_rests_until = traffic_.backends().pressure().rests_until(range->owner);
+    request.server_back_off_until = traffic_.backends().pressure().back_off_until(range->owner);
     return EndWithoutRun(request, RefusalReason::kResting, now);
   }
-  const auto bar =
-      bar_to_retry(request, report.end, BudgetOf(request.service), traffic_.gateway_count(), now);
-  if (!bar) return Requeue(request, now);
+  const auto block_reason = retry_block_reason(request, report.end, BudgetOf(request.service),
+                                               traffic_.gateway_count(), now);
+  if (!block_reason) return Requeue(request, now);
   if (may_be_relayed(report)) return Relay(request);
-  End(request, *bar, now);
+  End(request, *block_reason, now);
 }
 
 void GatewayNode::Requeue(LiveRequest& request, Instant now) {
-  // The owner of a key refused it: it lost the key, and its next owner is not known here yet.
+  // The owner refused the key: it has lost the key, and the next owner is not known here yet.
   const bool again_at_owner = traffic_.is_keyed(request.service);
   request.not_before = again_at_owner ? now + kOwnerRetry : now;
   requests_.enqueue(request);
@@ -77,7 +78,7 @@
 
 void GatewayNode::Relay(LiveRequest& request) {
   effects_.actions.emplace_back(RelayAnswer{request.arrived.number});
-  Forget(request);
+  Remove(request);
 }
 
 void GatewayNode::GiveUp(LiveRequest& request, Instant now) {
@@ -93,13 +94,13 @@
   Note(request.arrived.number, "give_up",
        request.open ? request.open->instance : traffic::InstanceId{}, "deadline or timeout");
   effects_.actions.emplace_back(refusal_at_deadline(request));
-  Forget(request);
+  Remove(request);
 }
 
 void GatewayNode::End(LiveRequest& request, RefusalReason reason, Instant now) {
   if (!request.may_have_run) return EndWithoutRun(request, reason, now);
   effects_.actions.emplace_back(refusal_of_unknown_outcome(request));
-  Forget(request);
+  Remove(request);
 }
 
 void GatewayNode::EndWithoutRun(LiveRequest& request, RefusalReason reason, Instant now) {
@@ -108,13 +109,13 @@
        std::string(ReasonName(reason)) + ", version " + std::to_string(version()) + ", confirmed " +
            InMs(now - confirmed_at_) + " ago" + AfterMs(now - request.received));
   effects_.actions.emplace_back(refusal_without_run(request, reason, now));
-  Forget(request);
+  Remove(request);
 }
 
-void GatewayNode::Forget(LiveRequest& request) {
+void GatewayNode::Remove(LiveRequest& request) {
   token_queue_.remove(request.tenant, request.arrived.number);
   limit_queue_.remove(request.arrived.number);
-  if (request.counted && request.attempts == 0 && !request.open) {
+  if (request.charged_to_quota && request.attempts == 0 && !request.open) {
     quotas_.give_back(request.tenant);
   }
   if (request.open) {
--- a/src/gateway/request_sending.cc
+++ b/src/gateway/request_sending.cc
@@ -1,4 +1,4 @@
-// Which server a waiting request goes to, and what it waits for otherwise.
+// Choice of a server for waiting requests, and their waits.
 #include <algorithm>
 #include <utility>
 
@@ -8,8 +8,8 @@
 namespace graniteseam::gateway {
 namespace {
 
-/// Of the limit that the owner of a key names, the part that all gateways send it while no leader
-/// gives tokens: enough to hear of its end.
+/// The part of the limit of a key's owner that all gateways together send on their own tokens while
+/// no leader grants any: enough to detect that the limit has ended.
 constexpr double kOwnPartWithoutLeader = 0.2;
 
 }  // namespace
@@ -17,8 +17,8 @@
 void GatewayNode::ServeWaiting(const ServiceName& service, Instant now) {
   const bool keyed = traffic_.is_keyed(service);
   std::vector<WaitingPlace> places = requests_.queue_of(service);
-  // Those that can still be answered within their targets go first: what is late anyway is worth
-  // the same a little later.
+  // Requests that can still be answered within their targets go first: a request that is already
+  // late loses nothing more by a little extra delay.
   if (keyed) {
     std::stable_partition(places.begin(), places.end(), [&](const WaitingPlace& place) {
       return is_in_time(requests_.at(place.number), now);
@@ -26,7 +26,8 @@
   }
   for (const WaitingPlace& place : places) {
     LiveRequest& request = requests_.at(place.number);
-    // Timers stand still while a machine is suspended: what wakes it may come before they do.
+    // Timers stop while a machine is suspended: the event that wakes it may arrive before they
+    // fire.
     if (now >= request.give_up) {
       GiveUp(request, now);
       continue;
@@ -68,11 +69,11 @@
   const Backend* owner = range != nullptr && range->phase == traffic::RangePhase::kServing
                              ? backends.Find(range->owner)
                              : nullptr;
-  if (owner == nullptr || backends.DrainedForLong(*owner, now)) {
+  if (owner == nullptr || backends.DrainAllowanceElapsed(*owner, now)) {
     return WaitForOwner(request, RefusalReason::kNoOwner, now);
   }
-  if (traffic_.keys().Disowned(*range, now)) {
-    // This gateway's map is behind: the caller had better ask another one soon.
+  if (traffic_.keys().IsOwnerStale(*range, now)) {
+    // This gateway's map is out of date: the caller should soon try another gateway.
     return Wait(request, RefusalReason::kStaleOwner, short_hold(request), now);
   }
   if (now < owner->paused_until) return WaitForOwner(request, RefusalReason::kOwnerFails, now);
@@ -91,7 +92,7 @@
   BackendTable& backends = traffic_.backends();
   const Backend* backend =
       backends.Choose(request.service, request.tried, request.target_latency, now);
-  // With no other server left, one that was tried may do better now.
+  // With no other server left, one that was already tried may succeed now.
   if (backend == nullptr)
     backend = backends.Choose(request.service, {}, request.target_latency, now);
   if (backend == nullptr) {
@@ -104,15 +105,15 @@
 }
 
 bool GatewayNode::BeginProbes(LiveRequest& request, Instant now) {
-  if (now < request.probes.rests_until || !probes_.applies(request.service, now)) return false;
+  if (now < request.probes.back_off_until || !probes_.applies(request.service, now)) return false;
   const std::string path = traffic_.health_path(request.service);
   if (path.empty()) return false;
   const ProbeOptions& options = probes_.options();
   ProbeRound& round = request.probes;
   ++round.number;
-  round.told = 0;
-  for (const Backend* const backend :
-       traffic_.backends().Draw(request.service, request.tried, options.per_request, now)) {
+  round.loads_received = 0;
+  for (const Backend* const backend : traffic_.backends().DrawForProbes(
+           request.service, request.tried, options.per_request, now)) {
     const traffic::InstanceReport& instance = backend->instance.report;
     round.asked.push_back(instance.id);
     effects_.actions.emplace_back(ProbeInstance{request.arrived.number, round.number, instance.id,
@@ -129,55 +130,57 @@
   const std::vector<traffic::InstanceId> asked = std::exchange(request.probes.asked, {});
   request.probes.open = 0;
   Note(request.arrived.number, "probed", {},
-       std::to_string(request.probes.told) + " of " + std::to_string(asked.size()) +
-           " told their load");
-  const Backend* const backend = traffic_.backends().Soonest(asked, request.target_latency, now);
+       std::to_string(request.probes.loads_received) + " of " + std::to_string(asked.size()) +
+           " reported their load");
+  const Backend* const backend =
+      traffic_.backends().FastestProbed(asked, request.target_latency, now);
   if (backend == nullptr) {
-    request.probes.rests_until = now + probes_.options().rest;
+    request.probes.back_off_until = now + probes_.options().rest;
     return false;
   }
   return Send(request, *backend, now) == Step::kSent;
 }
 
 GatewayNode::Step GatewayNode::Send(LiveRequest& request, const Backend& backend, Instant now) {
-  if (const auto bar = traffic_.backends().Bar(backend, now)) {
+  if (const auto block_reason = traffic_.backends().SendBlockReason(backend, now)) {
     const bool keyed = traffic_.is_keyed(request.service);
-    if (!keyed) return Wait(request, *bar, short_hold(request), now);
-    if (*bar == RefusalReason::kResting) return WaitForRest(request, backend, now);
-    if (*bar != RefusalReason::kLimited) return WaitForOwner(request, *bar, now);
+    if (!keyed) return Wait(request, *block_reason, short_hold(request), now);
+    if (*block_reason == RefusalReason::kResting) return WaitForBackOff(request, backend, now);
+    if (*block_reason != RefusalReason::kLimited) return WaitForOwner(request, *block_reason, now);
     if (WaitForToken(request, backend, now) == Step::kWaits) return Step::kWaits;
   }
   BeginAttempt(request, backend, now);
   return Step::kSent;
 }
 
-GatewayNode::Step GatewayNode::WaitForRest(LiveRequest& request, const Backend& owner,
-                                           Instant now) {
+GatewayNode::Step GatewayNode::WaitForBackOff(LiveRequest& request, const Backend& owner,
+                                              Instant now) {
   const traffic::InstanceId& id = owner.instance.report.id;
   request.waits_for = RefusalReason::kResting;
-  request.server_rests_until = traffic_.backends().pressure().rests_until(id);
-  const bool ends_soon = !RestsForLong(request, id) && now < request.server_rests_until;
-  requests_.set_timer(request, ends_soon ? request.server_rests_until : Instant{});
+  request.server_back_off_until = traffic_.backends().pressure().back_off_until(id);
+  const bool ends_soon = !BacksOffPastHold(request, id) && now < request.server_back_off_until;
+  requests_.set_timer(request, ends_soon ? request.server_back_off_until : Instant{});
   return Step::kWaits;
 }
 
-bool GatewayNode::RestsForLong(const LiveRequest& request, const traffic::InstanceId& owner) const {
+bool GatewayNode::BacksOffPastHold(const LiveRequest& request,
+                                   const traffic::InstanceId& owner) const {
   const Instant hold_end = std::min(request.hold_from + owner_hold(request), request.give_up);
-  return traffic_.backends().pressure().rests_until(owner) >= hold_end;
+  return traffic_.backends().pressure().back_off_until(owner) >= hold_end;
 }
 
 GatewayNode::Step GatewayNode::WaitForToken(LiveRequest& request, const Backend& owner,
                                             Instant now) {
   const traffic::InstanceId& id = owner.instance.report.id;
   const BackPressureTable& pressure = traffic_.backends().pressure();
-  if (request.asks_since == Instant{}) request.asks_since = now;
+  if (request.token_wait_since == Instant{}) request.token_wait_since = now;
   request.waits_for = RefusalReason::kLimited;
   const Instant end = limit_wait_end(request);
-  const bool leader_is_silent = now >= end;
-  if (leader_is_silent && pressure.has_own_token(id, kOwnPartWithoutLeader, now)) {
+  const bool leader_timed_out = now >= end;
+  if (leader_timed_out && pressure.has_own_token(id, kOwnPartWithoutLeader, now)) {
     return Step::kSent;
   }
-  if (leader_is_silent || pressure.is_used_up(id, now)) {
+  if (leader_timed_out || pressure.is_exhausted(id, now)) {
     requests_.set_timer(request, {});
     return Step::kWaits;
   }
@@ -190,7 +193,7 @@
 void GatewayNode::BeginAttempt(LiveRequest& request, const Backend& backend, Instant now) {
   requests_.dequeue(request);
   limit_queue_.remove(request.arrived.number);
-  request.asks_since = {};
+  request.token_wait_since = {};
   const traffic::InstanceId id = backend.instance.report.id;
   Note(request.arrived.number, "send", id, traffic_.backends().Describe(backend, now));
   request.open = OpenAttempt{++request.numbering, id, now};
@@ -223,7 +226,7 @@
                                             Instant now) {
   const Step step = Wait(request, reason, owner_hold(request), now);
   if (request.timer == Instant{}) return step;
-  requests_.set_timer(request, std::min(request.timer, next_owner_look(now)));
+  requests_.set_timer(request, std::min(request.timer, next_owner_check(now)));
   return step;
 }
 
