--- a/include/graniteseam/lease/lease_table.h
+++ b/include/graniteseam/lease/lease_table.h
@@ -35,11 +35,11 @@
 
 /// An incarnation that answered and is granted nothing: it may be registered once no other
 /// incarnation of its server can hold a lease.
-struct Appearance {
+struct UnleasedIncarnation {
   ServerId server;
   Incarnation incarnation;
 
-  bool operator==(const Appearance&) const = default;
+  bool operator==(const UnleasedIncarnation&) const = default;
 };
 
 /// A revoked shard that its owner no longer runs anything for.
@@ -53,9 +53,9 @@
 /// The sessions of one leader in one term.
 ///
 /// Lifecycle: constructed when the leader is established in its term, with every session that an
-/// earlier leader may have kept alive (AddHeld); dropped with the leadership. The caller must pass
-/// events and call Advance() only while it holds its leader lease: that is what makes a paused or
-/// cut-off leader's readings older than the next leader's election.
+/// earlier leader may have kept alive (AddLeased); dropped with the leadership. The caller must
+/// pass events and call Advance() only while it holds its leader lease: that is what makes a paused
+/// or cut-off leader's readings older than the next leader's election.
 ///
 /// Invariant: a session is reported as expired only when no grant of this or an earlier leader can
 /// still be valid on that server's own clock.
@@ -73,8 +73,8 @@
 
   /// Adds a server that may hold a lease of an earlier leader. It counts as renewed at `now`.
   /// @param longest_lease the longest lease that any earlier leader may have granted it.
-  void AddHeld(const ServerId& server, Incarnation incarnation, Duration lease,
-               Duration longest_lease, Instant now);
+  void AddLeased(const ServerId& server, Incarnation incarnation, Duration lease,
+                 Duration longest_lease, Instant now);
 
   /// Adds a server that certainly holds no lease; it is greeted until it answers. No effect on a
   /// known one but for the lease length of its next grants.
@@ -110,7 +110,7 @@
   /// The incarnation that answers in place of the one that a session was opened with, if one does.
   std::optional<Incarnation> Successor(const ServerId& server, Instant now) const;
   /// Servers without a lease, and restarted ones, that answered since the last call.
-  std::vector<Appearance> TakeAppearances();
+  std::vector<UnleasedIncarnation> TakeUnleasedIncarnations();
   /// Releases seen since the last call, each once.
   std::vector<Release> TakeReleases();
   /// Servers whose word about leaving changed since the last call.
@@ -118,9 +118,9 @@
 
   /// Whether the server answered lately enough that giving it shards makes sense.
   bool Healthy(const ServerId& server, Instant now) const;
-  bool Knows(const ServerId& server) const { return sessions_.contains(server); }
+  bool HasSession(const ServerId& server) const { return sessions_.contains(server); }
   /// Whether the server certainly holds no lease and is only greeted.
-  bool Greets(const ServerId& server) const;
+  bool IsUnleased(const ServerId& server) const;
   /// How long the lease may still be valid at the server, at most; zero without one.
   Duration Remaining(const ServerId& server, Instant now) const;
   /// The server's last word on its load, 0 idle to 1 full.
@@ -131,8 +131,8 @@
 
  private:
   enum class State {
-    kGreeting,  ///< Holds no lease; answers are appearances.
-    kLeased,    ///< May hold a lease up to `over_at`.
+    kUnleased,  ///< Holds no lease; answers are appearances.
+    kLeased,    ///< May hold a lease up to `expires_at`.
     kExpired,   ///< Its lease is over; waits for Dismiss() or Admit().
   };
   struct Change {
@@ -141,16 +141,16 @@
     bool revoked = false;
   };
   struct Session {
-    State state = State::kGreeting;
+    State state = State::kUnleased;
     Incarnation incarnation;               ///< While leased: the only one that is granted anything.
     std::optional<Incarnation> successor;  ///< Another one that answers while leased.
     Duration lease{};
-    Instant over_at{};                 ///< From then on no grant of ours is valid.
+    Instant expires_at{};              ///< From then on no grant of ours is valid.
     std::optional<Instant> reading;    ///< Newest, on the server's clock.
     Instant reading_received{};        ///< Ours.
     std::uint64_t answered = 0;        ///< Sequence of the newest message answered.
     std::uint64_t last_sent = 0;       ///< Sequence of the newest message sent.
-    Instant contact_until{};           ///< Not reported as expired before: it had no chance yet.
+    Instant expiry_deferred_until{};   ///< Not reported as expired before: it had no chance yet.
     std::uint64_t version = 0;         ///< Shard-set version that the leader wants.
     std::uint64_t confirmed = 0;       ///< That the server holds; 0 for unknown.
     std::vector<Change> changes;       ///< After `confirmed`, in order.
@@ -164,12 +164,12 @@
   void Schedule(const ServerId& server, Session& session, Instant at);
   void ScheduleChange(const ServerId& server, Session& session, Instant now);
   Duration Interval(const Session& session) const;
-  void TakeGranted(const ServerId& server, Session& session, const LeaseAnswer& answer,
-                   Instant now);
+  void HandleLeasedAnswer(const ServerId& server, Session& session, const LeaseAnswer& answer,
+                          Instant now);
   void Confirm(Session& session, const LeaseAnswer& answer) const;
   void NoteReleases(const ServerId& server, Session& session, const LeaseAnswer& answer);
-  void ExpireIfOver(const ServerId& server, Session& session, Instant now);
-  void ForgiveLateness(Instant now);
+  void ExpireIfDue(const ServerId& server, Session& session, Instant now);
+  void DeferExpiryAfterPause(Instant now);
   LeaseRequest Compose(const ServerId& server, Session& session);
   void FillChange(const ServerId& server, Session& session, LeaseRequest& request) const;
   std::uint64_t NextVersion();
@@ -182,7 +182,7 @@
   std::set<std::pair<Instant, ServerId>> due_;
   std::map<ShardId, ServerId> awaited_from_;
   std::set<ServerId> expired_;
-  std::vector<Appearance> appearances_;
+  std::vector<UnleasedIncarnation> unleased_incarnations_;
   std::vector<Release> releases_;
   std::vector<std::pair<ServerId, bool>> leaving_changes_;
 };
--- a/include/graniteseam/placement/load_tracker.h
+++ b/include/graniteseam/placement/load_tracker.h
@@ -30,7 +30,7 @@
   double shift_requests_minimum = 10.0;
   /// Shifts count for LastShift() when those of one slot together reach this part of the service's
   /// load: with tens of thousands of shards, some false alarms are always about.
-  double marked_shift_share = 0.01;
+  double shifted_load_share_minimum = 0.01;
 };
 
 /// A shard's estimated load.
@@ -59,8 +59,8 @@
 
   LoadEstimate Estimate(const ShardId& shard) const;
 
-  /// When the service's load last shifted markedly among its shards (see `marked_shift_share`); the
-  /// origin when never.
+  /// When the service's load last shifted markedly among its shards (see
+  /// `shifted_load_share_minimum`); the origin when never.
   Instant LastShift(const ServiceName& service) const;
 
   /// Forgets a service that no longer exists.
--- a/include/graniteseam/placement/placement_planner.h
+++ b/include/graniteseam/placement/placement_planner.h
@@ -70,7 +70,7 @@
   double gain_minimum = 0.05;
   /// A shard above the target moves as a whole to a server that carries no more than this, over the
   /// mean: cheaper than moving all its neighbours.
-  double hot_shard_company = 0.06;
+  double hot_shard_target_load_maximum = 0.06;
   double noise_deviations = 2.0;    ///< Imbalance within this much noise is none.
   double load_floor = 5.0;          ///< Mean requests a second of a server below which none moves.
   Duration settle_time{1'000'000};  ///< Wait this long after the last shift of load...
--- a/include/graniteseam/traffic/instance.h
+++ b/include/graniteseam/traffic/instance.h
@@ -19,15 +19,15 @@
 using InstanceId = NameId<struct InstanceIdTag>;
 
 /// Parts a server's name from the start of one of its lives. Names must not have it.
-inline constexpr char kLifeSeparator = '~';
+inline constexpr char kStartTimeSeparator = '~';
 
-/// @param born_ms when the life began, in milliseconds by the server's own time of day; 0 when it
-/// does not tell, and the name stands for its only life.
-InstanceId LifeOf(std::string_view name, std::int64_t born_ms);
+/// @param started_at_ms when the life began, in milliseconds by the server's own time of day; 0
+/// when it does not tell, and the name stands for its only life.
+InstanceId MakeInstanceId(std::string_view name, std::int64_t started_at_ms);
 /// The name by which the server knows itself, in all of its lives.
-std::string_view NameOf(const InstanceId& life);
+std::string_view ServerNameOf(const InstanceId& instance);
 /// When the life began; 0 when it did not tell.
-std::int64_t BornOf(const InstanceId& life);
+std::int64_t StartTimeMsOf(const InstanceId& instance);
 
 /// What an instance says of itself in a heartbeat.
 struct InstanceReport {
@@ -64,8 +64,8 @@
   std::uint64_t changed_at = 0;  ///< Log index of the newest change.
 
   bool TakesNewWork() const { return state == InstanceState::kReady; }
-  bool WarmsUp() const { return report.warmup_left_ms > 0; }
-  bool Gone() const {
+  bool IsWarmingUp() const { return report.warmup_left_ms > 0; }
+  bool IsGone() const {
     return state == InstanceState::kDisplaced || state == InstanceState::kDeregistered;
   }
   bool operator==(const Instance&) const = default;
--- a/include/graniteseam/traffic/suspect.h
+++ b/include/graniteseam/traffic/suspect.h
@@ -15,12 +15,12 @@
 
 /// Instances that must have ended under a request, one after the other, before it is refused: two
 /// may be chance where servers end in series, as in a rack that fails or a release that goes wrong.
-inline constexpr std::size_t kEndedToQuarantine = 3;
+inline constexpr std::size_t kQuarantineThreshold = 3;
 
 /// How long a suspect is remembered after the last instance that ended under it. Long enough that
 /// a request which comes each minute ends no more than three servers in that time, short enough
 /// that it is tried again on the day on which the servers are mended.
-inline constexpr Duration kSuspectKept{600'000'000};
+inline constexpr Duration kSuspectRetention{600'000'000};
 
 /// An attempt that ended without an answer, as a router tells of it. Times are spans, since
 /// machines' clocks are not compared.
@@ -50,7 +50,7 @@
   std::uint64_t changed_at = 0;   ///< Log index of the newest change.
 
   /// Whether it is sent to no instance any more.
-  bool Quarantined() const { return ended.size() >= kEndedToQuarantine; }
+  bool Quarantined() const { return ended.size() >= kQuarantineThreshold; }
   bool operator==(const SuspectRequest&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(SuspectRequest, (), (digest, ended, changed_at))
--- a/src/control/crash_tally.cc
+++ b/src/control/crash_tally.cc
@@ -121,7 +121,7 @@
     if (is_new && loss.sent_at < last_end) continue;
     last_end = loss.lost_at;
     // Those beyond the number that is wanted tell nothing more, and may be open for long.
-    if (is_new && instances.size() >= traffic::kEndedToQuarantine) continue;
+    if (is_new && instances.size() >= traffic::kQuarantineThreshold) continue;
     if (is_new) instances.push_back(loss.instance);
     if (fate == Fate::kOpen) ++ends.open;
   }
@@ -166,7 +166,7 @@
   const bool certain = ends.open <= 1;
   const bool quarantined = recorded != nullptr && recorded->Quarantined();
   const bool may_quarantine = quarantined || (answers_told && certain);
-  const std::size_t told = may_quarantine ? traffic::kEndedToQuarantine : kEndedToRecord;
+  const std::size_t told = may_quarantine ? traffic::kQuarantineThreshold : kEndedToRecord;
   if (ends.instances.size() > told) ends.instances.resize(told);
   if (recorded != nullptr && recorded->ended == ends.instances) return;
   Record(digest, std::move(ends.instances));
@@ -192,7 +192,7 @@
     Standing& standing = standing_.try_emplace(digest, Standing{0, now, now}).first->second;
     if (standing.changed_at != suspect.changed_at) standing.changed_since = now;
     standing.changed_at = suspect.changed_at;
-    if (now - standing.changed_since > traffic::kSuspectKept) Clear(digest, "it is long ago");
+    if (now - standing.changed_since > traffic::kSuspectRetention) Clear(digest, "it is long ago");
   }
 }
 
--- a/src/control/displacement.cc
+++ b/src/control/displacement.cc
@@ -7,15 +7,15 @@
 const traffic::Instance* SuccessorOf(const traffic::InstanceTable& instances,
                                      const traffic::Instance& displaced) {
   if (displaced.state != traffic::InstanceState::kDisplaced) return nullptr;
-  const traffic::Instance* const later = instances.NewestLife(displaced.report.id);
+  const traffic::Instance* const later = instances.NewestIncarnation(displaced.report.id);
   const bool is_other = later != nullptr && later->report.id != displaced.report.id;
-  return is_other ? later : instances.HolderOf(displaced.report.address);
+  return is_other ? later : instances.FindByAddress(displaced.report.address);
 }
 
 /// Whether what was sent to one instance would be taken by the other: same name, same address.
 bool TakesItsOrders(const traffic::Instance& later, const traffic::Instance& former) {
   return later.report.address == former.report.address &&
-         traffic::NameOf(later.report.id) == traffic::NameOf(former.report.id);
+         traffic::ServerNameOf(later.report.id) == traffic::ServerNameOf(former.report.id);
 }
 
 }  // namespace
--- a/src/control/ownership_controller.cc
+++ b/src/control/ownership_controller.cc
@@ -32,7 +32,7 @@
     const auto lease = state_.LeaseOf(record.service);
     const Duration longest = state_.LongestLease(record.service);
     if (record.serving) {
-      leases_.AddHeld(id, record.incarnation, lease.value_or(longest), longest, now);
+      leases_.AddLeased(id, record.incarnation, lease.value_or(longest), longest, now);
     } else if (lease) {
       leases_.AddUnleased(id, *lease, now);
     }
@@ -187,7 +187,7 @@
 }
 
 void OwnershipController::DecideAppearances(std::vector<CommandBody>& commands) {
-  for (const auto& appearance : leases_.TakeAppearances()) {
+  for (const auto& appearance : leases_.TakeUnleasedIncarnations()) {
     if (Undecided(appearance.server) || !MayReplace(appearance.server)) continue;
     const auto* record = state_.servers().Find(appearance.server);
     if (record != nullptr && record->serving && record->incarnation == appearance.incarnation) {
--- a/src/control/range_controller.cc
+++ b/src/control/range_controller.cc
@@ -155,7 +155,7 @@
                 [&](const auto& entry) { return state_.instances().Find(entry.first) == nullptr; });
   std::erase_if(holders_, [&](const auto& entry) {
     const traffic::Instance* const instance = state_.instances().Find(entry.first);
-    const bool gone = instance == nullptr || instance->Gone();
+    const bool gone = instance == nullptr || instance->IsGone();
     return gone && now - entry.second.heard > kHolderKept;
   });
 }
@@ -342,7 +342,7 @@
     if (avoided.contains(id) || HasEnded(id)) continue;
     if (by_heartbeat && !HeardLately(id, now)) continue;
     const double slots = static_cast<double>(std::max<std::int64_t>(1, instance.report.slots));
-    const bool spared = options_.spares_warming_up && instance.WarmsUp();
+    const bool spared = options_.spares_warming_up && instance.IsWarmingUp();
     RangeCandidate& candidate = (spared ? warming_up : candidates).emplace_back();
     candidate.id = id;
     candidate.zone = instance.report.zone;
--- a/src/control/replicated_state.cc
+++ b/src/control/replicated_state.cc
@@ -123,7 +123,7 @@
   const auto* known = servers_.Find(command.server);
   if (known == nullptr || !known->serving || known->incarnation != command.incarnation) return;
   servers_.SetServing(command.server, false, version());
-  shards_.Orphan(command.server, version());
+  shards_.UnassignAll(command.server, version());
   for (const auto& assignment : command.assignments) Assign(assignment);
   outcome.lost.push_back(command.server);
 }
--- a/src/daemon/control/owner_client.cc
+++ b/src/daemon/control/owner_client.cc
@@ -44,7 +44,7 @@
                        const event_http::Response& response) {
   if (response.status != kMisdirected || names.target_header.empty()) return false;
   const std::string* const answerer = response.fields.Find(names.answerer_header);
-  return answerer == nullptr || *answerer != traffic::NameOf(order.instance);
+  return answerer == nullptr || *answerer != traffic::ServerNameOf(order.instance);
 }
 
 RangeOrderResult::Outcome OutcomeOf(const OwnerCallNames& names, const RangeOrder& order,
@@ -92,7 +92,7 @@
   request.fields.Add("Host", order.address);
   request.fields.Add("Content-Type", "application/json");
   if (!names_.target_header.empty()) {
-    request.fields.Add(names_.target_header, std::string(traffic::NameOf(order.instance)));
+    request.fields.Add(names_.target_header, std::string(traffic::ServerNameOf(order.instance)));
   }
   request.body = BodyOf(order);
   event_http::Call call;
--- a/src/daemon/gateway/exchange_translator.cc
+++ b/src/daemon/gateway/exchange_translator.cc
@@ -145,7 +145,7 @@
   event_http::RemoveConnectionFields(forwarded.fields);
   forwarded.fields.Remove("Expect");
   if (send.hides_api_key) HideApiKey(send, forwarded.fields);
-  forwarded.fields.Set(names_.target_instance, std::string(traffic::NameOf(send.instance)));
+  forwarded.fields.Set(names_.target_instance, std::string(traffic::ServerNameOf(send.instance)));
   const std::int64_t left = std::max<std::int64_t>(1, ToMillis(send.time_left));
   forwarded.fields.Set(names_.time_left_ms, std::to_string(left));
   return event_http::Serialize(forwarded);
@@ -253,7 +253,7 @@
   if (result.end != event_http::CallEnd::kAnswered) return report;
   const auto& fields = result.response.fields;
   const std::string* const answerer = fields.Find(names_.answerer);
-  report.other_instance = answerer != nullptr && *answerer != traffic::NameOf(probe.instance);
+  report.other_instance = answerer != nullptr && *answerer != traffic::ServerNameOf(probe.instance);
   if (report.other_instance) return report;
   // Also of a server that says it is not well: whether it fails requests is seen by them.
   if (const std::string* const load = fields.Find(names_.load)) report.load = ReadLoad(*load);
--- a/src/gateway/backend_table.cc
+++ b/src/gateway/backend_table.cc
@@ -69,7 +69,7 @@
   for (const traffic::Instance& instance : update.instances) {
     const traffic::InstanceId& id = instance.report.id;
     const auto old = before.find(id);
-    if (instance.Gone()) {
+    if (instance.IsGone()) {
       Remove(id);
       continue;
     }
@@ -118,14 +118,14 @@
   const bool drained = backend.instance.state == traffic::InstanceState::kZoneDrained;
   const bool taken_back = !fresh && drained && next.TakesNewWork();
   if (taken_back) backend.warm_at_earliest = now + options_.taken_back_warm_up;
-  const bool news = fresh || taken_back || next.WarmsUp() != backend.instance.WarmsUp();
+  const bool news = fresh || taken_back || next.IsWarmingUp() != backend.instance.IsWarmingUp();
   if (!news) return;
   const Instant told = now + std::chrono::milliseconds(next.report.warmup_left_ms);
   backend.warm_at = std::max(told, backend.warm_at_earliest);
 }
 
 bool BackendTable::WarmUpAdmits(const Backend& backend, Instant now) const {
-  return !WarmsUp(backend, now) || warm_ups_.admits(backend.instance.report.id, now);
+  return !IsWarmingUp(backend, now) || warm_ups_.admits(backend.instance.report.id, now);
 }
 
 void BackendTable::ShareConnections(const std::map<ServiceName, traffic::Service>& services,
@@ -205,7 +205,7 @@
 
 double BackendTable::ExpectedMicros(const Backend& backend, Duration target, Instant now) const {
   double latency = backend.latency_us;
-  if (WarmsUp(backend, now)) latency *= options_.cold_factor;
+  if (IsWarmingUp(backend, now)) latency *= options_.cold_factor;
   const double turns = std::max(1.0, (LoadOf(backend, now) + 1) / SlotsOf(backend));
   return latency * turns + PenaltyMicros(backend, target, now);
 }
@@ -255,7 +255,7 @@
       continue;
     }
     const bool is_rare =
-        pressure_.is_limited(id) || (warm_ups_.is_bounded() && WarmsUp(backend, now));
+        pressure_.is_limited(id) || (warm_ups_.is_bounded() && IsWarmingUp(backend, now));
     if (is_rare) choice.rare = &backend;
     choice.usable.push_back(&backend);
   }
@@ -398,7 +398,7 @@
   std::vector<double> sums;
   double sum = 0;
   for (const Backend* const backend : backends) {
-    const double cold = WarmsUp(*backend, now) ? options_.cold_factor : 1.0;
+    const double cold = IsWarmingUp(*backend, now) ? options_.cold_factor : 1.0;
     const double sound = std::max(kSoundMinimum, 1 - FailingPart(*backend, now));
     const double latency = std::max(mean / kFastest, LatencyToDrawBy(*backend).value_or(mean));
     sum += SlotsOf(*backend) * sound / (cold * latency);
@@ -414,7 +414,7 @@
   if (found == backends_.end()) return;
   ++found->second.in_flight;
   pressure_.note_sent(id, now);
-  if (WarmsUp(found->second, now)) warm_ups_.note_sent(id, now);
+  if (IsWarmingUp(found->second, now)) warm_ups_.note_sent(id, now);
   Visits& visits =
       visits_.try_emplace(found->second.instance.report.service, Visits{0, now, now}).first->second;
   visits.fading *= std::exp(-Micros(now - visits.at) / Micros(options_.visits_memory));
@@ -530,7 +530,7 @@
   std::snprintf(text, sizeof(text), "load %.1f of %.0f, word %lld ms old, latency %.0f ms%s",
                 LoadOf(backend, now), SlotsOf(backend),
                 backend.others_at == Instant{} ? -1LL : static_cast<long long>(age.count()),
-                backend.latency_us / 1000, WarmsUp(backend, now) ? ", warms up" : "");
+                backend.latency_us / 1000, IsWarmingUp(backend, now) ? ", warms up" : "");
   std::string described = text;
   if (!backend.work_percent) return described;
   std::snprintf(text, sizeof(text), ", work %.0f%%", *backend.work_percent);
--- a/src/gateway/backend_table.h
+++ b/src/gateway/backend_table.h
@@ -196,7 +196,7 @@
   /// Whether this gateway may send a server a request now, as far as its warm-up goes; also of one
   /// that has just told a probe that it turned cold.
   bool WarmUpAdmits(const Backend& backend, Instant now) const;
-  static bool WarmsUp(const Backend& backend, Instant now) { return now < backend.warm_at; }
+  static bool IsWarmingUp(const Backend& backend, Instant now) { return now < backend.warm_at; }
 
   /// Whether this gateway meets each server of a service often enough to know how it does.
   bool KnowsServers(const ServiceName& service, std::size_t servers, Instant now) const;
--- a/src/gateway/refusals.cc
+++ b/src/gateway/refusals.cc
@@ -44,7 +44,7 @@
   // Where this gateway is behind, coming back at once to another one helps.
   if (reason == RefusalReason::kStaleOwner) return kRetryAfterMinimum;
   // Whoever comes back sooner is refused again.
-  if (reason == RefusalReason::kQuarantined) return traffic::kSuspectKept;
+  if (reason == RefusalReason::kQuarantined) return traffic::kSuspectRetention;
   if (reason == RefusalReason::kResting && request.server_rests_until > now) {
     return std::clamp<Duration>(request.server_rests_until - now, kRetryAfterMinimum,
                                 kRetryAfterMaximum);
--- a/src/http/traffic_json.cc
+++ b/src/http/traffic_json.cc
@@ -411,12 +411,12 @@
   control::ReportInstance heartbeat;
   BOOST_LEAF_CHECK(ReadItems(object, kHeld, ReadHeldSpan, heartbeat.keys.held));
   BOOST_LEAF_CHECK(ReadItems(object, kReleased, ReadReleasedSpan, heartbeat.keys.released));
-  if (id.value.find(traffic::kLifeSeparator) != std::string::npos) {
-    return Wrong("id", std::string("a name without ") + traffic::kLifeSeparator);
+  if (id.value.find(traffic::kStartTimeSeparator) != std::string::npos) {
+    return Wrong("id", std::string("a name without ") + traffic::kStartTimeSeparator);
   }
   std::int64_t born_ms = 0;
   BOOST_LEAF_CHECK(reader.OptionalWhole("born", born_ms));
-  heartbeat.report.id = traffic::LifeOf(id.value, born_ms);
+  heartbeat.report.id = traffic::MakeInstanceId(id.value, born_ms);
   BOOST_LEAF_CHECK(ReadReport(reader, heartbeat.report));
   return heartbeat;
 }
--- a/src/lease/lease_table.cc
+++ b/src/lease/lease_table.cc
@@ -33,7 +33,7 @@
 
 Duration LeaseTable::Interval(const Session& session) const {
   const Duration usual = session.lease / options_.renewals_per_lease;
-  if (session.state == State::kGreeting) return std::max(Duration(1), session.lease / 2);
+  if (session.state == State::kUnleased) return std::max(Duration(1), session.lease / 2);
   const bool waits = session.state == State::kLeased && !session.awaited.empty();
   return std::max(Duration(1), waits ? std::min(usual, options_.release_poll_interval) : usual);
 }
@@ -49,15 +49,15 @@
   return session;
 }
 
-void LeaseTable::AddHeld(const ServerId& server, Incarnation incarnation, Duration lease,
-                         Duration longest_lease, Instant now) {
+void LeaseTable::AddLeased(const ServerId& server, Incarnation incarnation, Duration lease,
+                           Duration longest_lease, Instant now) {
   Session& session = Open(server, lease, now);
   session.state = State::kLeased;
   session.incarnation = incarnation;
   // Every grant of an earlier leader rests on a reading taken before that leader's own lease ended,
   // hence before this leader's election; `now` is later still.
-  session.over_at = now + Stretch(std::max(lease, longest_lease), options_.clock_drift_bound);
-  if (DefectOn(Defect::kNoWaitAfterElection)) session.over_at = now;
+  session.expires_at = now + Stretch(std::max(lease, longest_lease), options_.clock_drift_bound);
+  if (DefectOn(Defect::kNoWaitAfterElection)) session.expires_at = now;
   session.version = NextVersion();
   for (const auto& grant : shard_sets_(server).revocations) {
     session.awaited[grant.shard] = grant.epoch;
@@ -71,7 +71,7 @@
 
 void LeaseTable::Remove(const ServerId& server) {
   const auto found = sessions_.find(server);
-  if (found == sessions_.end() || found->second.state != State::kGreeting) return;
+  if (found == sessions_.end() || found->second.state != State::kUnleased) return;
   due_.erase({found->second.due, server});
   sessions_.erase(found);
 }
@@ -81,15 +81,15 @@
   if (found == sessions_.end()) return;
   Session& session = found->second;
   if (session.state == State::kLeased && session.incarnation == incarnation) return;
-  const bool reading_fits = session.state == State::kGreeting ? session.incarnation == incarnation
+  const bool reading_fits = session.state == State::kUnleased ? session.incarnation == incarnation
                                                               : session.successor == incarnation;
   if (!reading_fits) session.reading.reset();
   expired_.erase(server);
   session.state = State::kLeased;
   session.incarnation = incarnation;
   session.successor.reset();
-  session.over_at = std::max(session.over_at, now);
-  session.contact_until = now + session.lease / 2;
+  session.expires_at = std::max(session.expires_at, now);
+  session.expiry_deferred_until = now + session.lease / 2;
   session.version = NextVersion();
   session.confirmed = 0;
   session.leaving = false;
@@ -101,14 +101,14 @@
 
 void LeaseTable::Dismiss(const ServerId& server, Instant now) {
   const auto found = sessions_.find(server);
-  if (found == sessions_.end() || found->second.state == State::kGreeting) return;
+  if (found == sessions_.end() || found->second.state == State::kUnleased) return;
   Session& session = found->second;
   expired_.erase(server);
   for (const auto& [shard, epoch] : session.awaited) awaited_from_.erase(shard);
   session.awaited.clear();
   session.changes.clear();
   session.confirmed = 0;
-  session.state = State::kGreeting;
+  session.state = State::kUnleased;
   session.successor.reset();
   session.reading.reset();
   Schedule(server, session, now);
@@ -161,32 +161,32 @@
   if (answer.order.term != term_) return;
   if (answer.order.sequence <= session.answered || answer.order.sequence > session.last_sent)
     return;
-  ExpireIfOver(answer.server, session, now);
+  ExpireIfDue(answer.server, session, now);
   session.answered = answer.order.sequence;
   session.load = answer.load;
   if (answer.leaving != session.leaving) {
     session.leaving = answer.leaving;
     leaving_changes_.emplace_back(answer.server, answer.leaving);
   }
-  if (session.state == State::kGreeting) {
+  if (session.state == State::kUnleased) {
     session.incarnation = answer.incarnation;
     session.reading = answer.reading;
     session.reading_received = now;
-    appearances_.push_back({answer.server, answer.incarnation});
+    unleased_incarnations_.push_back({answer.server, answer.incarnation});
     return;
   }
-  TakeGranted(answer.server, session, answer, now);
+  HandleLeasedAnswer(answer.server, session, answer, now);
 }
 
-void LeaseTable::TakeGranted(const ServerId& server, Session& session, const LeaseAnswer& answer,
-                             Instant now) {
+void LeaseTable::HandleLeasedAnswer(const ServerId& server, Session& session,
+                                    const LeaseAnswer& answer, Instant now) {
   if (answer.incarnation != session.incarnation) {
     // The process was started anew. Its predecessor may still run until its lease is over, so
     // nothing is granted to the new one before that.
     session.successor = answer.incarnation;
     session.reading = answer.reading;
     session.reading_received = now;
-    appearances_.push_back({server, answer.incarnation});
+    unleased_incarnations_.push_back({server, answer.incarnation});
     return;
   }
   if (session.successor || session.state == State::kExpired) return;
@@ -232,34 +232,34 @@
   }
 }
 
-void LeaseTable::ExpireIfOver(const ServerId& server, Session& session, Instant now) {
+void LeaseTable::ExpireIfDue(const ServerId& server, Session& session, Instant now) {
   if (session.state != State::kLeased) return;
-  if (now < session.over_at || now < session.contact_until) return;
+  if (now < session.expires_at || now < session.expiry_deferred_until) return;
   session.state = State::kExpired;
   expired_.insert(server);
 }
 
-void LeaseTable::ForgiveLateness(Instant now) {
+void LeaseTable::DeferExpiryAfterPause(Instant now) {
   if (due_.empty()) return;
   const auto& [due, server] = *due_.begin();
   if (now - due <= sessions_.at(server).lease / 2) return;
   // This leader was paused, or had lost its own lease for a while: the servers had no chance to
   // answer. Without this, it would take all of them for lost at once.
-  for (auto& [id, session] : sessions_) session.contact_until = now + session.lease / 2;
+  for (auto& [id, session] : sessions_) session.expiry_deferred_until = now + session.lease / 2;
 }
 
 std::vector<LeaseRequest> LeaseTable::Advance(Instant now) {
   std::vector<LeaseRequest> requests;
-  ForgiveLateness(now);
+  DeferExpiryAfterPause(now);
   while (!due_.empty() && due_.begin()->first <= now) {
     const ServerId server = due_.begin()->second;
     due_.erase(due_.begin());
     Session& session = sessions_.at(server);
-    ExpireIfOver(server, session, now);
+    ExpireIfDue(server, session, now);
     requests.push_back(Compose(server, session));
     Instant next = now + Interval(session);
     if (session.state == State::kLeased) {
-      const Instant over = std::max(session.over_at, session.contact_until);
+      const Instant over = std::max(session.expires_at, session.expiry_deferred_until);
       if (over > now) next = std::min(next, over);
     }
     session.due = next;
@@ -278,8 +278,8 @@
   request.valid_until = *session.reading + session.lease;
   // The reading was taken before it was received, so on any clock within the drift bound the grant
   // ends before this instant.
-  session.over_at =
-      std::max(session.over_at,
+  session.expires_at =
+      std::max(session.expires_at,
                session.reading_received + Stretch(session.lease, options_.clock_drift_bound));
   FillChange(server, session, request);
   if (DefectOn(Defect::kRenewalOfWrongSet)) {
@@ -319,7 +319,9 @@
   return session.successor;
 }
 
-std::vector<Appearance> LeaseTable::TakeAppearances() { return std::exchange(appearances_, {}); }
+std::vector<UnleasedIncarnation> LeaseTable::TakeUnleasedIncarnations() {
+  return std::exchange(unleased_incarnations_, {});
+}
 
 std::vector<Release> LeaseTable::TakeReleases() { return std::exchange(releases_, {}); }
 
@@ -335,15 +337,15 @@
   return session.reading && now - session.reading_received < session.lease / 2;
 }
 
-bool LeaseTable::Greets(const ServerId& server) const {
+bool LeaseTable::IsUnleased(const ServerId& server) const {
   const auto found = sessions_.find(server);
-  return found != sessions_.end() && found->second.state == State::kGreeting;
+  return found != sessions_.end() && found->second.state == State::kUnleased;
 }
 
 Duration LeaseTable::Remaining(const ServerId& server, Instant now) const {
   const auto found = sessions_.find(server);
   if (found == sessions_.end() || found->second.state != State::kLeased) return Duration::zero();
-  return std::max(Duration::zero(), found->second.over_at - now);
+  return std::max(Duration::zero(), found->second.expires_at - now);
 }
 
 double LeaseTable::LoadHint(const ServerId& server) const {
--- a/src/placement/load_tracker.cc
+++ b/src/placement/load_tracker.cc
@@ -71,7 +71,7 @@
     total_rate += counter.average;
   }
   // A service that has just appeared has no earlier load to have shifted from.
-  if (shifted_rate > 0 && shifted_rate >= options_.marked_shift_share * total_rate) {
+  if (shifted_rate > 0 && shifted_rate >= options_.shifted_load_share_minimum * total_rate) {
     counters.last_shift = slot_end_;
   }
 }
--- a/src/placement/server_loads.cc
+++ b/src/placement/server_loads.cc
@@ -69,7 +69,7 @@
   const Server& target = servers_[roomiest->second];
   std::size_t position = source.shards.size() - 1;
   if (!IsHotShardMove(source, target) && !FindMoveWithinTarget(source, target, position) &&
-      !FindMoveWorthIt(source, target, position)) {
+      !FindEveningMove(source, target, position)) {
     return false;
   }
   choice = {source.shards[position], from, roomiest->second};
@@ -91,7 +91,7 @@
   const double unit = target.capacity * mean_;
   const double hottest = Load(source.shards.back());
   const double neighbours = source.load - hottest;
-  return hottest > target_ * unit && target.load <= options_.hot_shard_company * unit &&
+  return hottest > target_ * unit && target.load <= options_.hot_shard_target_load_maximum * unit &&
          neighbours > target.load + options_.gain_minimum * unit;
 }
 
@@ -118,7 +118,7 @@
 }
 
 /// No server has room: the shard that best evens out the two, if that gains enough.
-bool ServerLoads::FindMoveWorthIt(const Server& source, const Server& target,
+bool ServerLoads::FindEveningMove(const Server& source, const Server& target,
                                   std::size_t& position) {
   const auto higher_after = [&](std::size_t candidate) {
     const double load = Load(source.shards[candidate]);
--- a/src/placement/server_loads.h
+++ b/src/placement/server_loads.h
@@ -66,7 +66,7 @@
   bool FindMove(ServerNumber from, MoveChoice& choice);
   bool IsHotShardMove(const Server& source, const Server& target) const;
   bool FindMoveWithinTarget(const Server& source, const Server& target, std::size_t& position);
-  bool FindMoveWorthIt(const Server& source, const Server& target, std::size_t& position);
+  bool FindEveningMove(const Server& source, const Server& target, std::size_t& position);
   void Apply(const MoveChoice& choice);
   void ChangeLoad(ServerNumber number, double load, double variance);
 
--- a/src/placement/shard_table.cc
+++ b/src/placement/shard_table.cc
@@ -33,7 +33,7 @@
   shards_.reserve(shards_.size() + shard_count);
   for (std::uint32_t index = 0; index < shard_count; ++index) {
     AppendShard(&entry->first, index);
-    Touch(range.first + index, version);
+    MarkChanged(range.first + index, version);
   }
   return {};
 }
@@ -62,7 +62,7 @@
   shard.state = OwnershipState::kAssigned;
   if (shard.last_owner != kNoServer && shard.last_owner != server) ++moves_;
   shard.last_owner = server;
-  Touch(number, version);
+  MarkChanged(number, version);
   return true;
 }
 
@@ -75,7 +75,7 @@
   if (target == shards_[number].owner) return false;
   StopMoving(number);
   StartMoving(number, target);
-  Touch(number, version);
+  MarkChanged(number, version);
   return true;
 }
 
@@ -86,11 +86,11 @@
   StopMoving(number);
   SetOwner(number, kNoServer);
   shards_[number].state = OwnershipState::kUnassigned;
-  Touch(number, version);
+  MarkChanged(number, version);
   return true;
 }
 
-void ShardTable::Orphan(const ServerId& server, std::uint64_t version) {
+void ShardTable::UnassignAll(const ServerId& server, std::uint64_t version) {
   const Server* found = FindServer(server);
   if (found == nullptr || server.Empty()) return;
   const std::vector<ShardNumber> owned = found->owned;
@@ -98,7 +98,7 @@
     StopMoving(number);
     SetOwner(number, kNoServer);
     shards_[number].state = OwnershipState::kUnassigned;
-    Touch(number, version);
+    MarkChanged(number, version);
   }
 }
 
@@ -204,7 +204,7 @@
     }
   }
   std::sort(by_change.begin(), by_change.end());
-  for (const auto& [changed_at, number] : by_change) Touch(number, changed_at);
+  for (const auto& [changed_at, number] : by_change) MarkChanged(number, changed_at);
   version_ = state.version;
   moves_ = state.moves;
   return {};
@@ -278,7 +278,7 @@
   moving_.erase(number);
 }
 
-void ShardTable::Touch(ShardNumber number, std::uint64_t version) {
+void ShardTable::MarkChanged(ShardNumber number, std::uint64_t version) {
   Unlink(number);
   LinkNewest(number);
   shards_[number].changed_at = version;
--- a/src/placement/shard_table.h
+++ b/src/placement/shard_table.h
@@ -110,7 +110,7 @@
   bool Unassign(const ShardId& shard, Epoch epoch, std::uint64_t version);
 
   /// Makes all shards of a server unassigned. Their epochs stay, so that the next is higher.
-  void Orphan(const ServerId& server, std::uint64_t version);
+  void UnassignAll(const ServerId& server, std::uint64_t version);
 
   std::optional<ShardOwnership> Find(const ShardId& shard) const;
   bool HasService(const ServiceName& service) const { return services_.contains(service); }
@@ -179,7 +179,7 @@
   void SetOwner(ShardNumber number, ServerNumber owner);
   void StartMoving(ShardNumber number, ServerNumber target);
   void StopMoving(ShardNumber number);
-  void Touch(ShardNumber number, std::uint64_t version);
+  void MarkChanged(ShardNumber number, std::uint64_t version);
   void LinkNewest(ShardNumber number);
   void Unlink(ShardNumber number);
 
--- a/src/traffic/configuration_store.cc
+++ b/src/traffic/configuration_store.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// Changes of one day, several times over; a change that is older is no longer known when resent.
-constexpr std::size_t kDigestsKept = 20'000;
+constexpr std::size_t kAcceptedDigestsMaximum = 20'000;
 constexpr std::int64_t kTimeoutMaximumMs = 600'000;
 
 boost::leaf::error_id Invalid(std::string message, std::string remedy) {
@@ -84,7 +84,7 @@
   configuration_ = std::move(next);
   changed_at_ = log_index;
   accepted_digests_.push_back(change.digest);
-  if (accepted_digests_.size() > kDigestsKept) accepted_digests_.pop_front();
+  if (accepted_digests_.size() > kAcceptedDigestsMaximum) accepted_digests_.pop_front();
   return {};
 }
 
--- a/src/traffic/instance_table.cc
+++ b/src/traffic/instance_table.cc
@@ -10,27 +10,27 @@
 constexpr std::size_t kTombstonesMaximum = 4'096;
 /// For which an instance counts as warming up when its zone is taken back, in ms. It may have
 /// become cold while it had nothing to do; its next heartbeats tell.
-constexpr std::int64_t kTakenBackWarmupMs = 3'000;
+constexpr std::int64_t kUndrainWarmupMs = 3'000;
 
 }  // namespace
 
-InstanceId LifeOf(std::string_view name, std::int64_t born_ms) {
+InstanceId MakeInstanceId(std::string_view name, std::int64_t started_at_ms) {
   InstanceId life{std::string(name)};
-  if (born_ms > 0) life.value += kLifeSeparator + std::to_string(born_ms);
+  if (started_at_ms > 0) life.value += kStartTimeSeparator + std::to_string(started_at_ms);
   return life;
 }
 
-std::string_view NameOf(const InstanceId& life) {
-  return std::string_view(life.value).substr(0, life.value.find(kLifeSeparator));
+std::string_view ServerNameOf(const InstanceId& life) {
+  return std::string_view(life.value).substr(0, life.value.find(kStartTimeSeparator));
 }
 
-std::int64_t BornOf(const InstanceId& life) {
-  const std::size_t separator = life.value.find(kLifeSeparator);
+std::int64_t StartTimeMsOf(const InstanceId& life) {
+  const std::size_t separator = life.value.find(kStartTimeSeparator);
   if (separator == std::string::npos) return 0;
-  std::int64_t born_ms = 0;
+  std::int64_t started_at_ms = 0;
   const char* const end = life.value.data() + life.value.size();
-  std::from_chars(life.value.data() + separator + 1, end, born_ms);
-  return born_ms;
+  std::from_chars(life.value.data() + separator + 1, end, started_at_ms);
+  return started_at_ms;
 }
 
 InstanceState InstanceTable::StateOf(const InstanceReport& report) const {
@@ -38,17 +38,17 @@
   return drained_zones_.contains(report.zone) ? InstanceState::kZoneDrained : InstanceState::kReady;
 }
 
-Instance InstanceTable::First(const InstanceReport& report) const {
+Instance InstanceTable::NewInstance(const InstanceReport& report) const {
   Instance first;
   first.report = report;
   first.state = StateOf(report);
-  const Instance* const newest = NewestLife(report.id);
+  const Instance* const newest = NewestIncarnation(report.id);
   // A life that began earlier than one that is known: its heartbeat is late.
-  if (newest != nullptr && BornOf(report.id) < BornOf(newest->report.id)) {
+  if (newest != nullptr && StartTimeMsOf(report.id) < StartTimeMsOf(newest->report.id)) {
     first.state = InstanceState::kDisplaced;
   }
   // Its name was deregistered before any of its lives was heard of: it was this one.
-  const Instance* const tombstone = Find({std::string(NameOf(report.id))});
+  const Instance* const tombstone = Find({std::string(ServerNameOf(report.id))});
   const bool ended = tombstone != nullptr && tombstone->state == InstanceState::kDeregistered;
   if (ended && newest == nullptr) first.state = InstanceState::kDeregistered;
   return first;
@@ -56,7 +56,7 @@
 
 std::optional<Instance> InstanceTable::Changed(const InstanceReport& report) const {
   const Instance* known = Find(report.id);
-  if (known == nullptr) return First(report);
+  if (known == nullptr) return NewInstance(report);
   Instance next;
   next.report = report;
   next.state = StateOf(report);
@@ -64,7 +64,7 @@
   const bool late = report.sequence <= known->report.sequence;
   if (known->state == InstanceState::kDeregistered || late) return std::nullopt;
   const bool displaced = known->state == InstanceState::kDisplaced;
-  if (displaced && HolderOf(report.address) != nullptr) {
+  if (displaced && FindByAddress(report.address) != nullptr) {
     // It stays what it is; only that it drains must not be forgotten.
     if (!report.draining || known->report.draining) return std::nullopt;
     next.state = InstanceState::kDisplaced;
@@ -77,7 +77,7 @@
   InstanceReport same = next.report;
   same.sequence = known->report.sequence;
   const bool warms_up = same.warmup_left_ms > 0;
-  if (warms_up == known->WarmsUp()) same.warmup_left_ms = known->report.warmup_left_ms;
+  if (warms_up == known->IsWarmingUp()) same.warmup_left_ms = known->report.warmup_left_ms;
   if (next.state == known->state && same == known->report) return std::nullopt;
   return next;
 }
@@ -95,46 +95,47 @@
   std::optional<Instance> next = Changed(report);
   if (!next) return {};
   std::vector<InstanceId> changed{report.id};
-  if (next->Gone()) {
+  if (next->IsGone()) {
     next->changed_at = changed_at_ = log_index;
     instances_[report.id] = *next;
-    NoteLife(report.id);
+    RecordIncarnation(report.id);
     return changed;
   }
   // An address belongs to one process at a time, and a name to one life: whoever had them before
   // has ended.
-  Displace(HolderOf(report.address), report.id, log_index, changed);
-  Displace(NewestLife(report.id), report.id, log_index, changed);
-  NoteLife(report.id);
-  if (const Instance* known = Find(report.id)) ForgetHolder(known->report);
+  Displace(FindByAddress(report.address), report.id, log_index, changed);
+  Displace(NewestIncarnation(report.id), report.id, log_index, changed);
+  RecordIncarnation(report.id);
+  if (const Instance* known = Find(report.id)) RemoveFromAddressIndex(known->report);
   next->changed_at = log_index;
   instances_[report.id] = *next;
-  holders_[report.address] = report.id;
+  instances_by_address_[report.address] = report.id;
   changed_at_ = log_index;
-  ForgetOldTombstones();
+  EvictOldestTombstone();
   return changed;
 }
 
 void InstanceTable::Displace(const Instance* former, const InstanceId& successor,
                              std::uint64_t log_index, std::vector<InstanceId>& changed) {
-  if (former == nullptr || former->Gone() || former->report.id == successor) return;
+  if (former == nullptr || former->IsGone() || former->report.id == successor) return;
   Instance& displaced = instances_.at(former->report.id);
-  ForgetHolder(displaced.report);
+  RemoveFromAddressIndex(displaced.report);
   displaced.state = InstanceState::kDisplaced;
   displaced.changed_at = log_index;
   changed.push_back(displaced.report.id);
 }
 
-void InstanceTable::NoteLife(const InstanceId& id) {
-  const std::int64_t born_ms = BornOf(id);
-  if (born_ms == 0) return;
-  InstanceId& newest = newest_lives_.try_emplace(std::string(NameOf(id)), id).first->second;
-  if (born_ms > BornOf(newest)) newest = id;
+void InstanceTable::RecordIncarnation(const InstanceId& id) {
+  const std::int64_t started_at_ms = StartTimeMsOf(id);
+  if (started_at_ms == 0) return;
+  InstanceId& newest =
+      newest_incarnations_.try_emplace(std::string(ServerNameOf(id)), id).first->second;
+  if (started_at_ms > StartTimeMsOf(newest)) newest = id;
 }
 
-const Instance* InstanceTable::NewestLife(const InstanceId& id) const {
-  const auto found = newest_lives_.find(std::string(NameOf(id)));
-  return found == newest_lives_.end() ? nullptr : Find(found->second);
+const Instance* InstanceTable::NewestIncarnation(const InstanceId& id) const {
+  const auto found = newest_incarnations_.find(std::string(ServerNameOf(id)));
+  return found == newest_incarnations_.end() ? nullptr : Find(found->second);
 }
 
 bool InstanceTable::DrainZone(const ZoneName& zone, bool drained, std::uint64_t log_index) {
@@ -143,15 +144,15 @@
   if (!changes) return false;
   changed_at_ = log_index;
   for (auto& [id, instance] : instances_) {
-    if (instance.report.zone != zone || instance.Gone() || instance.report.draining) continue;
+    if (instance.report.zone != zone || instance.IsGone() || instance.report.draining) continue;
     instance.state = StateOf(instance.report);
-    if (!drained) instance.report.warmup_left_ms = kTakenBackWarmupMs;
+    if (!drained) instance.report.warmup_left_ms = kUndrainWarmupMs;
     instance.changed_at = log_index;
   }
   return true;
 }
 
-bool InstanceTable::DrainLeavesNone(const ZoneName& zone) const {
+bool InstanceTable::WouldDrainLastReadyZone(const ZoneName& zone) const {
   bool any = false;
   for (const auto& [id, instance] : instances_) {
     if (!instance.TakesNewWork()) continue;
@@ -162,17 +163,17 @@
 }
 
 bool InstanceTable::Deregister(const InstanceId& id, std::uint64_t log_index) {
-  const Instance* const newest = NewestLife(id);
-  const bool by_name = newest != nullptr && BornOf(id) == 0;
+  const Instance* const newest = NewestIncarnation(id);
+  const bool by_name = newest != nullptr && StartTimeMsOf(id) == 0;
   const InstanceId life = by_name ? newest->report.id : id;
   Instance& instance = instances_[life];
   if (instance.state == InstanceState::kDeregistered) return false;
-  ForgetHolder(instance.report);
+  RemoveFromAddressIndex(instance.report);
   instance.report.id = life;
   instance.state = InstanceState::kDeregistered;
   instance.changed_at = log_index;
   changed_at_ = log_index;
-  ForgetOldTombstones();
+  EvictOldestTombstone();
   return true;
 }
 
@@ -181,20 +182,21 @@
   return found == instances_.end() ? nullptr : &found->second;
 }
 
-const Instance* InstanceTable::HolderOf(const std::string& address) const {
-  const auto found = holders_.find(address);
-  return found == holders_.end() ? nullptr : Find(found->second);
+const Instance* InstanceTable::FindByAddress(const std::string& address) const {
+  const auto found = instances_by_address_.find(address);
+  return found == instances_by_address_.end() ? nullptr : Find(found->second);
 }
 
-void InstanceTable::ForgetHolder(const InstanceReport& report) {
-  const auto holder = holders_.find(report.address);
-  if (holder != holders_.end() && holder->second == report.id) holders_.erase(holder);
+void InstanceTable::RemoveFromAddressIndex(const InstanceReport& report) {
+  const auto holder = instances_by_address_.find(report.address);
+  if (holder != instances_by_address_.end() && holder->second == report.id)
+    instances_by_address_.erase(holder);
 }
 
-void InstanceTable::ForgetOldTombstones() {
+void InstanceTable::EvictOldestTombstone() {
   std::vector<const Instance*> gone;
   for (const auto& [id, instance] : instances_) {
-    if (instance.Gone()) gone.push_back(&instance);
+    if (instance.IsGone()) gone.push_back(&instance);
   }
   if (gone.size() <= kTombstonesMaximum) return;
   const auto oldest = std::min_element(
@@ -202,16 +204,17 @@
       [](const Instance* a, const Instance* b) { return a->changed_at < b->changed_at; });
   const InstanceId forgotten = (*oldest)->report.id;
   instances_.erase(forgotten);
-  const auto newest = newest_lives_.find(std::string(NameOf(forgotten)));
-  if (newest != newest_lives_.end() && newest->second == forgotten) newest_lives_.erase(newest);
+  const auto newest = newest_incarnations_.find(std::string(ServerNameOf(forgotten)));
+  if (newest != newest_incarnations_.end() && newest->second == forgotten)
+    newest_incarnations_.erase(newest);
 }
 
 void InstanceTable::AddChanges(std::uint64_t base, std::vector<Instance>& changed) const {
   for (const auto& [id, instance] : instances_) {
-    if (instance.changed_at <= base || (base == 0 && instance.Gone())) continue;
-    Instance& told = changed.emplace_back(instance);
-    told.report.release.clear();
-    told.report.sequence = 0;
+    if (instance.changed_at <= base || (base == 0 && instance.IsGone())) continue;
+    Instance& sent = changed.emplace_back(instance);
+    sent.report.release.clear();
+    sent.report.sequence = 0;
   }
 }
 
@@ -223,14 +226,14 @@
 
 void InstanceTable::Restore(const std::vector<Instance>& image) {
   instances_.clear();
-  holders_.clear();
-  newest_lives_.clear();
+  instances_by_address_.clear();
+  newest_incarnations_.clear();
   drained_zones_.clear();
   changed_at_ = 0;
   for (const Instance& instance : image) {
     instances_[instance.report.id] = instance;
-    NoteLife(instance.report.id);
-    if (!instance.Gone()) holders_[instance.report.address] = instance.report.id;
+    RecordIncarnation(instance.report.id);
+    if (!instance.IsGone()) instances_by_address_[instance.report.address] = instance.report.id;
     changed_at_ = std::max(changed_at_, instance.changed_at);
   }
 }
--- a/src/traffic/instance_table.h
+++ b/src/traffic/instance_table.h
@@ -40,14 +40,14 @@
   /// @return whether anything changed.
   bool DrainZone(const ZoneName& zone, bool drained, std::uint64_t log_index);
   /// Whether some instance takes new work now and none would with the zone drained.
-  bool DrainLeavesNone(const ZoneName& zone) const;
+  bool WouldDrainLastReadyZone(const ZoneName& zone) const;
   const std::set<ZoneName>& drained_zones() const { return drained_zones_; }
 
   const Instance* Find(const InstanceId& id) const;
   /// The instance at an address that is not gone; null when there is none.
-  const Instance* HolderOf(const std::string& address) const;
+  const Instance* FindByAddress(const std::string& address) const;
   /// The newest life under the name of `id`; null when no life of it told when it began.
-  const Instance* NewestLife(const InstanceId& id) const;
+  const Instance* NewestIncarnation(const InstanceId& id) const;
   const std::map<InstanceId, Instance>& instances() const { return instances_; }
   /// Log index of the newest change.
   std::uint64_t changed_at() const { return changed_at_; }
@@ -65,22 +65,23 @@
 
  private:
   /// The instance holds the address that it reported no more.
-  void ForgetHolder(const InstanceReport& report);
-  void ForgetOldTombstones();
+  void RemoveFromAddressIndex(const InstanceReport& report);
+  void EvictOldestTombstone();
   /// What a heartbeat makes of an instance; nullopt when it changes nothing.
   std::optional<Instance> Changed(const InstanceReport& report) const;
   /// The same of an instance that was never heard of.
-  Instance First(const InstanceReport& report) const;
+  Instance NewInstance(const InstanceReport& report) const;
   InstanceState StateOf(const InstanceReport& report) const;
   /// Ends whoever is known in the place of an instance that reports: at its address, or the life
   /// before it under its name.
   void Displace(const Instance* former, const InstanceId& successor, std::uint64_t log_index,
                 std::vector<InstanceId>& changed);
-  void NoteLife(const InstanceId& id);
+  void RecordIncarnation(const InstanceId& id);
 
   std::map<InstanceId, Instance> instances_;
-  std::map<std::string, InstanceId> holders_;       ///< By address, of those not gone.
-  std::map<std::string, InstanceId> newest_lives_;  ///< By name, of those that tell their start.
+  std::map<std::string, InstanceId> instances_by_address_;  ///< By address, of those not gone.
+  std::map<std::string, InstanceId>
+      newest_incarnations_;  ///< By name, of those that tell their start.
   std::set<ZoneName> drained_zones_;
   std::uint64_t changed_at_ = 0;
 };
--- a/src/traffic/key_range_table.cc
+++ b/src/traffic/key_range_table.cc
@@ -25,8 +25,8 @@
   return range.span.Contains(key) ? &range : nullptr;
 }
 
-KeyRange* KeyRangeTable::CutOut(const ServiceName& service, const KeySpan& span, Fence expected,
-                                std::uint64_t log_index) {
+KeyRange* KeyRangeTable::SplitOut(const ServiceName& service, const KeySpan& span, Fence expected,
+                                  std::uint64_t log_index) {
   if (span.first > span.last || span.last > kLastKey) return nullptr;
   const KeyRange* holder = Find(service, span.first);
   if (holder == nullptr || !holder->span.Contains(span.last) || holder->fence != expected) {
@@ -53,7 +53,7 @@
 }
 
 bool KeyRangeTable::Assign(const RangeAssignment& assignment, std::uint64_t log_index) {
-  KeyRange* range = CutOut(assignment.service, assignment.span, assignment.expected, log_index);
+  KeyRange* range = SplitOut(assignment.service, assignment.span, assignment.expected, log_index);
   if (range == nullptr) return false;
   if (range->phase != RangePhase::kReleasing) urgent_changed_at_ = log_index;
   range->phase = assignment.owner.Empty() ? RangePhase::kUnowned : RangePhase::kGranting;
@@ -70,7 +70,7 @@
   const bool owned = holder != nullptr && (holder->phase == RangePhase::kServing ||
                                            holder->phase == RangePhase::kGranting);
   if (!owned) return false;
-  KeyRange* range = CutOut(release.service, release.span, release.expected, log_index);
+  KeyRange* range = SplitOut(release.service, release.span, release.expected, log_index);
   if (range == nullptr) return false;
   urgent_changed_at_ = log_index;
   range->phase = RangePhase::kReleasing;
@@ -84,17 +84,18 @@
 bool KeyRangeTable::Confirm(const RangeConfirmation& confirmation, std::uint64_t log_index) {
   const KeyRange* holder = Find(confirmation.service, confirmation.span.first);
   if (holder == nullptr || holder->phase != RangePhase::kGranting) return false;
-  KeyRange* range = CutOut(confirmation.service, confirmation.span, confirmation.fence, log_index);
+  KeyRange* range =
+      SplitOut(confirmation.service, confirmation.span, confirmation.fence, log_index);
   if (range == nullptr) return false;
   urgent_changed_at_ = log_index;
   range->phase = RangePhase::kServing;
   range->handover.clear();
-  JoinNeighbours(confirmation.service, range->span.first);
+  MergeNeighbours(confirmation.service, range->span.first);
   return true;
 }
 
 /// Joins a serving range with equal neighbours: fewer ranges are fewer renewals.
-void KeyRangeTable::JoinNeighbours(const ServiceName& service, std::uint32_t first) {
+void KeyRangeTable::MergeNeighbours(const ServiceName& service, std::uint32_t first) {
   Ranges& ranges = services_.at(service);
   const auto joins = [](const KeyRange& a, const KeyRange& b) {
     return a.phase == RangePhase::kServing && b.phase == RangePhase::kServing &&
@@ -119,12 +120,12 @@
   for (const auto& [service, ranges] : services_) {
     for (const auto& [first, range] : ranges) {
       if (range.changed_at <= base) continue;
-      KeyRange& told = changed.emplace_back(range);
+      KeyRange& sent = changed.emplace_back(range);
       // Nobody is asked for the keys but an owner that serves them. Each range goes to each router:
       // what it does without is most of a range's bytes.
-      told.handover.clear();
-      told.successor = {};
-      if (range.phase != RangePhase::kServing) told.owner = {};
+      sent.handover.clear();
+      sent.successor = {};
+      if (range.phase != RangePhase::kServing) sent.owner = {};
     }
   }
   std::stable_sort(changed.begin(), changed.end(), [](const KeyRange& a, const KeyRange& b) {
--- a/src/traffic/key_range_table.h
+++ b/src/traffic/key_range_table.h
@@ -79,9 +79,9 @@
  private:
   /// Makes a range of exactly `span`, cut out of the one that holds it.
   /// @return null when no range with this fence holds the whole span.
-  KeyRange* CutOut(const ServiceName& service, const KeySpan& span, Fence expected,
-                   std::uint64_t log_index);
-  void JoinNeighbours(const ServiceName& service, std::uint32_t first);
+  KeyRange* SplitOut(const ServiceName& service, const KeySpan& span, Fence expected,
+                     std::uint64_t log_index);
+  void MergeNeighbours(const ServiceName& service, std::uint32_t first);
 
   std::map<ServiceName, Ranges> services_;
   std::uint64_t changed_at_ = 0;
--- a/src/traffic/suspect_table.cc
+++ b/src/traffic/suspect_table.cc
@@ -16,7 +16,7 @@
     SuspectRequest& recorded = suspects_[suspect.digest];
     recorded = suspect;
     recorded.changed_at = log_index;
-    ForgetOldest();
+    EvictOldest();
   }
   changed_at_ = log_index;
 }
@@ -44,7 +44,7 @@
   changed_at_ = image.changed_at;
 }
 
-void SuspectTable::ForgetOldest() {
+void SuspectTable::EvictOldest() {
   if (suspects_.size() <= kSuspectsMaximum) return;
   // A quarantined one would end further servers before it is known again.
   const auto place = [](const SuspectRequest& suspect) {
--- a/src/traffic/suspect_table.h
+++ b/src/traffic/suspect_table.h
@@ -39,7 +39,7 @@
   void Restore(const SuspectImage& image);
 
  private:
-  void ForgetOldest();
+  void EvictOldest();
 
   std::map<RequestDigest, SuspectRequest> suspects_;
   std::uint64_t changed_at_ = 0;
--- a/src/traffic/traffic_state.cc
+++ b/src/traffic/traffic_state.cc
@@ -7,11 +7,11 @@
 
 Result<void> TrafficState::Apply(const ConfigurationChange& change, std::uint64_t log_index) {
   BOOST_LEAF_CHECK(configuration_.Apply(change, log_index));
-  FollowKeyedServices(log_index);
+  AddKeyedServices(log_index);
   return {};
 }
 
-void TrafficState::FollowKeyedServices(std::uint64_t log_index) {
+void TrafficState::AddKeyedServices(std::uint64_t log_index) {
   for (const Service& service : configuration_.current().services) {
     if (service.keyed) ranges_.AddService(service.name, log_index);
   }
@@ -27,7 +27,7 @@
 
 Result<void> TrafficState::DrainZone(const ZoneName& zone, bool drained, std::uint64_t log_index) {
   const bool known = instances_.drained_zones().contains(zone);
-  if (drained && !known && instances_.DrainLeavesNone(zone)) {
+  if (drained && !known && instances_.WouldDrainLastReadyZone(zone)) {
     return Fail(ErrorKind::kFailedPrecondition,
                 "No instance outside of zone " + zone.value + " takes work.",
                 "Take another zone back first.");
--- a/src/traffic/traffic_state.h
+++ b/src/traffic/traffic_state.h
@@ -85,7 +85,7 @@
  private:
   /// A service that became keyed gets its keys. They are kept when it is dropped: its servers may
   /// hold grants for some time, and the service may come back.
-  void FollowKeyedServices(std::uint64_t log_index);
+  void AddKeyedServices(std::uint64_t log_index);
 
   ConfigurationStore configuration_;
   InstanceTable instances_;
--- a/tests/control/crash_tally_test.cc
+++ b/tests/control/crash_tally_test.cc
@@ -177,7 +177,7 @@
 Test(crash_tally, a_quarantine_ends_after_its_time) {
   Fixture fixture;
   fixture.state.RecordSuspects({{kLethal, {{"i-1"}, {"i-2"}, {"i-3"}}, 0}}, ++fixture.index);
-  const std::int64_t kept_ms = traffic::kSuspectKept.count() / 1'000;
+  const std::int64_t kept_ms = traffic::kSuspectRetention.count() / 1'000;
   fixture.RunUntil(kept_ms - 1'000);
   cr_assert(fixture.Quarantined(kLethal));
   fixture.RunUntil(kept_ms + 1'000);
--- a/tests/control/zone_drain_orders_test.cc
+++ b/tests/control/zone_drain_orders_test.cc
@@ -27,7 +27,7 @@
 
 ReportInstance BeatOf(ControlHarness& harness, int number, std::int64_t born_ms = 0) {
   traffic::InstanceReport report;
-  report.id = traffic::LifeOf("i-" + std::to_string(number), born_ms);
+  report.id = traffic::MakeInstanceId("i-" + std::to_string(number), born_ms);
   report.service = kRanged;
   report.address = "10.0.0." + std::to_string(number) + ":80";
   report.zone = number % 2 == 1 ? kEast : kWest;
@@ -145,13 +145,13 @@
   bool granted = false;
   for (std::size_t at = before; at < fleet.orders.size(); ++at) {
     const RangeOrder& order = fleet.orders[at];
-    const bool of_name = traffic::NameOf(order.instance) == "i-1";
+    const bool of_name = traffic::ServerNameOf(order.instance) == "i-1";
     if (!of_name) continue;
     const bool release = order.kind == RangeOrder::Kind::kRelease;
     // Until it answered a release, nobody knows that late orders to its former life act no more.
     released = released || release;
     if (!released || release) continue;
-    granted = granted || order.instance == traffic::LifeOf("i-1", 1'000);
+    granted = granted || order.instance == traffic::MakeInstanceId("i-1", 1'000);
     cr_assert(order.instance != traffic::InstanceId{"i-1"}, "a grant to the former life");
     cr_assert(order.fence.value > highest);
   }
--- a/tests/gateway/backend_table_test.cc
+++ b/tests/gateway/backend_table_test.cc
@@ -388,7 +388,7 @@
     }
     for (const auto& instance : update.instances) {
       known.erase(instance.report.id.value);
-      if (!instance.Gone()) known[instance.report.id.value] = instance;
+      if (!instance.IsGone()) known[instance.report.id.value] = instance;
     }
     table.Apply(update, kNow);
     traffic::TrafficUpdate whole;
--- a/tests/gateway/crash_watch_test.cc
+++ b/tests/gateway/crash_watch_test.cc
@@ -81,7 +81,7 @@
        {Ask(fixture, "/safe/x", 1), Ask(fixture, "/unsafe/x", 1), Ask(fixture, "/keyed/x", 1, 7)}) {
     const auto refused = Only<Refuse>(effects);
     cr_assert(refused.status == 503 && refused.reason == RefusalReason::kQuarantined);
-    cr_assert(refused.retry_after == traffic::kSuspectKept);
+    cr_assert(refused.retry_after == traffic::kSuspectRetention);
   }
   cr_assert(Has<SendAttempt>(fixture.Request("/safe/x", 2)), "others are served");
 }
--- a/tests/http/heartbeat_json_test.cc
+++ b/tests/http/heartbeat_json_test.cc
@@ -121,7 +121,7 @@
       [&] { return http::ReadHeartbeat(HeartbeatWith(R"(,"born":1796245000000)"), {"i-1"}); });
   cr_assert(ErrorOf(read) == nullptr);
   const auto& report = std::get<control::ReportInstance>(read).report;
-  cr_assert(report.id == traffic::LifeOf("i-1", 1'796'245'000'000));
+  cr_assert(report.id == traffic::MakeInstanceId("i-1", 1'796'245'000'000));
   const auto doubled = Attempt([&] { return http::ReadHeartbeat(HeartbeatWith(""), {"i-1~5"}); });
   cr_assert(ErrorOf(doubled) != nullptr, "a name that looks like a life was taken");
 }
--- a/tests/lease/lease_table_model_test.cc
+++ b/tests/lease/lease_table_model_test.cc
@@ -115,8 +115,8 @@
         table.Dismiss(kServer, At());
       }
     }
-    for (const auto& appearance : table.TakeAppearances()) {
-      if (!table.Greets(kServer)) continue;
+    for (const auto& appearance : table.TakeUnleasedIncarnations()) {
+      if (!table.IsUnleased(kServer)) continue;
       table.Admit(kServer, appearance.incarnation, At());
     }
     Check();
@@ -194,7 +194,7 @@
 
   void run(const Nothing& /*model*/, System& system) const override {
     auto& shard = system.log[index];
-    if (shard.holding != Holding::kHeld || system.table.Greets(kServer)) return;
+    if (shard.holding != Holding::kHeld || system.table.IsUnleased(kServer)) return;
     shard.holding = Holding::kLeaving;
     system.table.Revoke(kServer, GrantOf(index, shard.epoch), system.At());
     system.Advance();
--- a/tests/lease/lease_table_test.cc
+++ b/tests/lease/lease_table_test.cc
@@ -16,7 +16,6 @@
 using graniteseam::ShardId;
 using graniteseam::Term;
 using graniteseam::ToMicros;
-using graniteseam::lease::Appearance;
 using graniteseam::lease::FencedOwner;
 using graniteseam::lease::LeaseRequest;
 using graniteseam::lease::LeaseTable;
@@ -24,6 +23,7 @@
 using graniteseam::lease::Release;
 using graniteseam::lease::ShardGrant;
 using graniteseam::lease::ShardSet;
+using graniteseam::lease::UnleasedIncarnation;
 
 namespace {
 
@@ -77,7 +77,8 @@
   cr_assert(requests.size() == 1);
   cr_assert_not(requests[0].incarnation);
   cr_assert_not(requests[0].valid_until);
-  cr_assert(pair.table.TakeAppearances() == (std::vector{Appearance{kServer, kIncarnation}}));
+  cr_assert(pair.table.TakeUnleasedIncarnations() ==
+            (std::vector{UnleasedIncarnation{kServer, kIncarnation}}));
   cr_assert_not(pair.Valid(0));
 }
 
@@ -133,7 +134,7 @@
   pair.table.Dismiss(kServer, At(2 * kLease));
   cr_assert(pair.table.expired().empty());
   pair.Exchange(2 * kLease);
-  cr_assert(pair.table.TakeAppearances().size() == 2);
+  cr_assert(pair.table.TakeUnleasedIncarnations().size() == 2);
 }
 
 Test(lease_table, change_is_sent_at_once_and_repeated_until_confirmed) {
@@ -180,7 +181,7 @@
 
 Test(lease_table, new_leader_waits_out_the_longest_lease_of_an_earlier_one) {
   Pair pair;
-  pair.table.AddHeld(kServer, kIncarnation, Duration(kLease), Duration(3 * kLease), At(0));
+  pair.table.AddLeased(kServer, kIncarnation, Duration(kLease), Duration(3 * kLease), At(0));
   for (std::int64_t now = 0; now < 3 * kLeaseOver; now += 600) pair.table.Advance(At(now));
   cr_assert(pair.table.expired().empty());
   pair.table.Advance(At(3 * kLeaseOver));
@@ -192,7 +193,7 @@
   pair.Admit({Grant(1, 1)});
   cr_assert(static_cast<bool>(pair.owner.Begin(Grant(1, 1), At(500 + kClockOffset))));
   LeaseTable next(LeaseTableOptions{}, Term{4}, 0, [&](const ServerId&) { return pair.set; });
-  next.AddHeld(kServer, kIncarnation, Duration(kLease), Duration(kLease), At(1000));
+  next.AddLeased(kServer, kIncarnation, Duration(kLease), Duration(kLease), At(1000));
   for (std::int64_t now = 1000; now < 2000; now += 500) {
     for (const auto& request : next.Advance(At(now))) {
       next.Take(pair.owner.Take(request, At(now + kClockOffset)), At(now));
--- a/tests/placement/shard_table_model_test.cc
+++ b/tests/placement/shard_table_model_test.cc
@@ -107,7 +107,7 @@
   }
 };
 
-struct Orphan : TableCommand {
+struct UnassignAll : TableCommand {
   ServerId server = AnyServer();
 
   void apply(Model& model) const override {
@@ -117,7 +117,7 @@
     }
   }
   void run(const Model& before, ShardTable& table) const override {
-    table.Orphan(server, before.version + 1);
+    table.UnassignAll(server, before.version + 1);
     CheckEqual(nextState(before), table);
   }
 };
@@ -143,8 +143,8 @@
     ShardTable table;
     RC_ASSERT(static_cast<bool>(table.AddService(kService, kShardCount, 1)));
     for (std::uint32_t index = 0; index < kShardCount; ++index) model.shards[index] = {};
-    rc::state::check(
-        model, table,
-        rc::state::gen::execOneOfWithArgs<Assign, Assign, BeginMove, Orphan, SaveAndRestore>());
+    rc::state::check(model, table,
+                     rc::state::gen::execOneOfWithArgs<Assign, Assign, BeginMove, UnassignAll,
+                                                       SaveAndRestore>());
   }));
 }
--- a/tests/placement/shard_table_test.cc
+++ b/tests/placement/shard_table_test.cc
@@ -89,7 +89,7 @@
   table.Assign({Shard(0), Epoch{0}, kFirst}, 2);
   table.Assign({Shard(1), Epoch{0}, kFirst}, 2);
   table.BeginMove({Shard(1), Epoch{1}, kSecond}, 3);
-  table.Orphan(kFirst, 4);
+  table.UnassignAll(kFirst, 4);
   cr_assert(table.OwnedCount(kFirst) == 0);
   cr_assert(table.PlannedCount(kSecond) == 0);
   cr_assert(table.Unassigned().size() == 2);
--- a/tests/traffic/instance_table_test.cc
+++ b/tests/traffic/instance_table_test.cc
@@ -77,7 +77,7 @@
   cr_assert(!table.WouldChange(Beat("i-1", "10.0.0.1:80", 9)));
   table.Report(Beat("i-1", "10.0.0.1:80", 9), 4);
   cr_assert(StateOf(table, "i-1") == InstanceState::kReady);
-  cr_assert(table.HolderOf("10.0.0.1:80")->report.id.value == "i-1");
+  cr_assert(table.FindByAddress("10.0.0.1:80")->report.id.value == "i-1");
 }
 
 Test(instance_table, draining_instance_that_was_displaced_drains_still) {
@@ -97,7 +97,7 @@
   cr_assert(table.WouldChange(Beat("i-1", "10.0.0.1:80", 11, true)));
   table.Report(Beat("i-1", "10.0.0.1:80", 11, true), 3);
   cr_assert(StateOf(table, "i-1") == InstanceState::kDisplaced);
-  cr_assert(table.HolderOf("10.0.0.1:80")->report.id.value == "i-0");
+  cr_assert(table.FindByAddress("10.0.0.1:80")->report.id.value == "i-0");
   table.Deregister({"i-0"}, 4);
   table.Report(Beat("i-1", "10.0.0.1:80", 12), 5);
   cr_assert(StateOf(table, "i-1") == InstanceState::kDraining);
@@ -131,7 +131,7 @@
   table.Deregister({"i-1"}, 3);
   std::vector<Instance> changed;
   table.AddChanges(2, changed);
-  cr_assert(changed.size() == 1 && changed[0].Gone());
+  cr_assert(changed.size() == 1 && changed[0].IsGone());
   std::vector<Instance> whole;
   table.AddChanges(0, whole);
   cr_assert(whole.size() == 1 && whole[0].report.id.value == "i-2");
--- a/tests/traffic/zone_drain_test.cc
+++ b/tests/traffic/zone_drain_test.cc
@@ -49,7 +49,7 @@
   cr_assert(zones.Drain(kEast, true));
   cr_assert(zones.At("i-1").state == InstanceState::kZoneDrained);
   cr_assert(zones.At("i-2").TakesNewWork());
-  cr_assert(!zones.At("i-1").Gone());
+  cr_assert(!zones.At("i-1").IsGone());
   zones.Report(Beat("i-1", kEast, 2));
   cr_assert(!zones.At("i-1").TakesNewWork(), "a heartbeat does not undo it");
   cr_assert(zones.Drain(kEast, false));
@@ -99,9 +99,9 @@
   Zones zones;
   cr_assert(zones.Drain(kEast, true));
   cr_assert(zones.Drain(kEast, false));
-  cr_assert(zones.At("i-1").WarmsUp());
+  cr_assert(zones.At("i-1").IsWarmingUp());
   zones.Report(Beat("i-1", kEast, 2));
-  cr_assert(!zones.At("i-1").WarmsUp());
+  cr_assert(!zones.At("i-1").IsWarmingUp());
 }
 
 Test(zone_drain, warm_up_that_begins_or_ends_is_news_and_its_length_is_not) {
