--- a/include/graniteseam/traffic/configuration_ids.h
+++ b/include/graniteseam/traffic/configuration_ids.h
@@ -1,14 +1,14 @@
 /// @file
-/// Names of what a traffic configuration holds.
+/// Identifiers used in the traffic configuration.
 #pragma once
 
 #include "graniteseam/common/ids.h"
 
 namespace graniteseam::traffic {
 
-/// A configuration's number, chosen by its author; 0 stands for none.
+/// Version number of a configuration, chosen by its author; 0 means no configuration.
 using ConfigurationVersion = NumericId<struct ConfigurationVersionTag>;
-/// A route, unique in its configuration.
+/// Name of a route, unique within a configuration.
 using RouteName = NameId<struct RouteNameTag>;
 
 }  // namespace graniteseam::traffic
--- a/include/graniteseam/traffic/key_lease.h
+++ b/include/graniteseam/traffic/key_lease.h
@@ -1,6 +1,6 @@
 /// @file
-/// Leases of keys that travel in heartbeats: what an instance says of the keys that it holds, and
-/// what the answer leases to it. docs/design/leases-by-heartbeat.md says why this is safe.
+/// Key leases carried by heartbeats: the keys that an instance reports as held, and the keys that
+/// the response leases to it. docs/design/leases-by-heartbeat.md explains why this is safe.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -12,7 +12,7 @@
 
 namespace graniteseam::traffic {
 
-/// Keys that an instance holds, or still works on.
+/// Keys that an instance holds, or for which requests are still running.
 struct HeldSpan {
   KeySpan span;
   Fence fence;
@@ -20,16 +20,16 @@
   bool operator==(const HeldSpan&) const = default;
 };
 
-/// Keys that an instance let go of since its last acknowledged heartbeat, because an answer left
-/// them out. What ran out by itself is not among them.
+/// Keys that an instance released since its last acknowledged heartbeat because a response no
+/// longer listed them. Expired leases are not included.
 struct ReleasedSpan {
   KeySpan span;
-  std::string handover;  ///< For the next owner; may be empty.
+  std::string handover;  ///< Opaque data for the next owner; may be empty.
 
   bool operator==(const ReleasedSpan&) const = default;
 };
 
-/// What an instance says of its keys in a heartbeat.
+/// The keys in an instance's heartbeat.
 struct HeldKeys {
   std::vector<HeldSpan> held;
   std::vector<ReleasedSpan> released;
@@ -37,19 +37,21 @@
   bool operator==(const HeldKeys&) const = default;
 };
 
+/// Keys leased to an instance.
 struct LeasedSpan {
   KeySpan span;
   Fence fence;
-  std::string handover;  ///< What the last owner gave; may be empty.
+  std::string handover;  ///< Opaque data from the previous owner; may be empty.
 
   bool operator==(const LeasedSpan&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(LeasedSpan, (), (span, fence, handover))
 
-/// All keys that an instance is to hold. It lets go of every other.
+/// The complete set of keys leased to an instance, which releases all others.
 struct KeyLeases {
   std::vector<LeasedSpan> spans;
-  std::int64_t length_ms = 0;  ///< Counted by the instance from the sending of its heartbeat.
+  /// Lease duration, counted from when the instance sent its heartbeat.
+  std::int64_t length_ms = 0;
 
   bool operator==(const KeyLeases&) const = default;
 };
--- a/include/graniteseam/traffic/key_range.h
+++ b/include/graniteseam/traffic/key_range.h
@@ -1,5 +1,5 @@
 /// @file
-/// Key ranges: which instance of a keyed service owns which keys, alone.
+/// Key ranges: which instance of a keyed service exclusively owns which keys.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -12,14 +12,14 @@
 
 namespace graniteseam::traffic {
 
-/// Keys are whole numbers from 0 to this.
+/// Keys are integers from 0 to this, inclusive.
 inline constexpr std::uint32_t kLastKey = 65'535;
 
-/// A fencing token: grows with each change of owner of a key. Taken from the log's index, so that
-/// no two decisions share one.
+/// A fencing token, which increases with each change of a key's owner. It is a log index, so that
+/// each decision has a distinct one.
 using Fence = NumericId<struct FenceTag>;
 
-/// Both ends belong to the span.
+/// An interval of keys; both ends are included.
 struct KeySpan {
   std::uint32_t first = 0;
   std::uint32_t last = 0;
@@ -32,25 +32,27 @@
 };
 BOOST_DESCRIBE_STRUCT(KeySpan, (), (first, last))
 
+/// The ownership phase of a key range.
 enum class RangePhase {
-  kUnowned,
-  kGranting,   ///< The owner is decided; it has not confirmed its grant.
-  kServing,    ///< The owner confirmed.
-  kReleasing,  ///< The owner finishes what runs; new requests wait for the next owner.
+  kUnowned,    ///< No instance owns the keys.
+  kGranting,   ///< Assigned to an owner that has not confirmed its grant yet.
+  kServing,    ///< The owner has confirmed its grant.
+  kReleasing,  ///< The owner finishes running requests; new ones wait for the next owner.
 };
 BOOST_DESCRIBE_ENUM(RangePhase, kUnowned, kGranting, kServing, kReleasing)
 
+/// A span of a service's keys with its owner.
 struct KeyRange {
   ServiceName service;
   KeySpan span;
   RangePhase phase = RangePhase::kUnowned;
   InstanceId owner;      ///< Empty while unowned.
-  Fence fence;           ///< Of the owner's grant; of the release while releasing.
-  InstanceId successor;  ///< While releasing: who is meant to be next; may be empty.
-  std::string handover;  ///< What the last owner gave with its release; may be empty.
-  std::uint64_t changed_at = 0;
+  Fence fence;           ///< Fence of the owner's grant; while releasing, that of the release.
+  InstanceId successor;  ///< While releasing: the planned next owner; may be empty.
+  std::string handover;  ///< Opaque data from the previous owner's release; may be empty.
+  std::uint64_t changed_at = 0;  ///< Log index of the last change.
 
-  /// Whether somebody is meant to hold the keys, and to go on.
+  /// Whether the keys have an owner that is not releasing them.
   bool Owned() const { return phase == RangePhase::kGranting || phase == RangePhase::kServing; }
   bool operator==(const KeyRange&) const = default;
 };
--- a/include/graniteseam/traffic/suspect.h
+++ b/include/graniteseam/traffic/suspect.h
@@ -1,5 +1,6 @@
 /// @file
-/// Requests under which instances ended: what routers saw, and what the group remembers of it.
+/// Suspect requests, while running which instances ended: the reports of routers and the replicated
+/// record.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -13,17 +14,18 @@
 
 namespace graniteseam::traffic {
 
-/// Instances that must have ended under a request, one after the other, before it is refused: two
-/// may be chance where servers end in series, as in a rack that fails or a release that goes wrong.
+/// Number of instances that must have ended, one after the other, while running a request before it
+/// is quarantined. Two may be a coincidence where servers fail in series, as with a failing rack or
+/// a faulty release.
 inline constexpr std::size_t kQuarantineThreshold = 3;
 
-/// How long a suspect is remembered after the last instance that ended under it. Long enough that
-/// a request which comes each minute ends no more than three servers in that time, short enough
-/// that it is tried again on the day on which the servers are mended.
+/// How long a suspect is kept after the last instance that ended while running it. Long enough that
+/// a request that arrives once a minute ends no more than three servers in that time, and short
+/// enough that it is tried again on the day on which the servers are fixed.
 inline constexpr Duration kSuspectRetention{600'000'000};
 
-/// An attempt that ended without an answer, as a router tells of it. Times are spans, since
-/// machines' clocks are not compared.
+/// A router's report of an attempt that ended without a response. Times are ages, since the clocks
+/// of different machines are not comparable.
 struct LostAttempt {
   RequestDigest digest;
   InstanceId instance;
@@ -34,7 +36,7 @@
 };
 BOOST_DESCRIBE_STRUCT(LostAttempt, (), (digest, instance, sent_ms_ago, lost_ms_ago))
 
-/// When an instance last ran a request and answered it, as a router tells of it.
+/// A router's report of the last time that an instance responded to a suspect request.
 struct AnsweredRequest {
   RequestDigest digest;
   std::int64_t answered_ms_ago = 0;
@@ -43,13 +45,13 @@
 };
 BOOST_DESCRIBE_STRUCT(AnsweredRequest, (), (digest, answered_ms_ago))
 
-/// A request under which several instances ended.
+/// A request that was running on several instances when they ended.
 struct SuspectRequest {
   RequestDigest digest;
-  std::vector<InstanceId> ended;  ///< In the order of their ends.
-  std::uint64_t changed_at = 0;   ///< Log index of the newest change.
+  std::vector<InstanceId> ended;  ///< In the order in which they ended.
+  std::uint64_t changed_at = 0;   ///< Log index of the last change.
 
-  /// Whether it is sent to no instance any more.
+  /// Whether routers refuse the request instead of sending it to an instance.
   bool Quarantined() const { return ended.size() >= kQuarantineThreshold; }
   bool operator==(const SuspectRequest&) const = default;
 };
--- a/include/graniteseam/traffic/tenant.h
+++ b/include/graniteseam/traffic/tenant.h
@@ -1,5 +1,5 @@
 /// @file
-/// Tenants: who may send requests, known by their API keys, and how much.
+/// Tenants: callers identified by their API keys, with their quotas.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -13,53 +13,55 @@
 
 namespace graniteseam::traffic {
 
+/// Name of a tenant, unique within a configuration.
 using TenantName = NameId<struct TenantNameTag>;
 
-/// SHA-256 of an API key in hexadecimal digits. Keys are secrets: nothing but the configuration as
-/// its operator reads it back holds one.
+/// SHA-256 of an API key in hexadecimal digits. Keys are secrets: only the configuration that an
+/// operator reads back contains one.
 using KeyDigest = std::string;
 
-/// What a tenant may send, over all gateways together.
+/// The request rate that a tenant may send, over all gateways together.
 struct TenantQuota {
   double rate_per_second = 0;  ///< 0: no limit.
-  double burst = 0;            ///< Requests beyond the rate that may come at once.
+  double burst = 0;            ///< Requests beyond the rate that may arrive at the same time.
 
   bool is_limited() const { return rate_per_second > 0; }
   bool operator==(const TenantQuota&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(TenantQuota, (), (rate_per_second, burst))
 
+/// A tenant of the configuration.
 struct Tenant {
   TenantName name;
   std::vector<KeyDigest> keys;
-  std::optional<std::int64_t> priority;  ///< Of its requests, in place of their routes'.
+  std::optional<std::int64_t> priority;  ///< Overrides the priority of the requests' routes.
   TenantQuota quota;
-  std::string source;  ///< The item as submitted, JSON, with its keys; only where it is kept.
+  std::string source;  ///< The item as submitted, in JSON, with its keys; empty in updates.
 
   bool operator==(const Tenant&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(Tenant, (), (name, keys, priority, quota, source))
 
-/// The part of a configuration's change that concerns tenants.
+/// The tenants' part of a configuration change.
 struct TenancyChange {
-  /// Whether the change speaks of tenants at all. A whole configuration that does, also of none,
-  /// makes callers show a key.
+  /// Whether the change has a list of tenants. A whole configuration with such a list, even an
+  /// empty one, makes API keys mandatory for callers.
   bool given = false;
   std::vector<Tenant> tenants;
   std::vector<TenantName> removed_tenants;
-  /// Of the changed routes, those that ask for no key.
+  /// The changed routes that require no API key.
   std::vector<RouteName> anonymous_routes;
 
   bool operator==(const TenancyChange&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(TenancyChange, (), (given, tenants, removed_tenants, anonymous_routes))
 
-/// What gateways are told of tenants.
+/// The tenants' part of an update to gateways.
 struct TenancyUpdate {
-  bool keys_required = false;   ///< Requests need a tenant's key, but on anonymous routes.
-  std::vector<Tenant> tenants;  ///< New or changed; without their sources.
+  bool keys_required = false;   ///< Requests need an API key, except on anonymous routes.
+  std::vector<Tenant> tenants;  ///< New or changed, with `source` empty.
   std::vector<TenantName> removed_tenants;
-  std::vector<RouteName> anonymous_routes;  ///< Of the update's routes.
+  std::vector<RouteName> anonymous_routes;  ///< Those among the update's routes.
 
   bool operator==(const TenancyUpdate&) const = default;
 };
--- a/include/graniteseam/traffic/update.h
+++ b/include/graniteseam/traffic/update.h
@@ -1,5 +1,5 @@
 /// @file
-/// What routers are told of the traffic state, and what they tell in return.
+/// Messages between control and routers about the traffic state: updates, polls and feed requests.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -18,10 +18,10 @@
 
 namespace graniteseam::traffic {
 
-/// The change of the traffic state from `base` to `version`, both log indexes. With base 0 it is
-/// the whole state. Items are without their sources.
+/// The difference of the traffic state from `base` to `version`, both log indexes. With base 0 it
+/// is the whole state. The items' `source` is empty.
 struct TrafficUpdate {
-  std::uint64_t sequence = 0;  ///< Of the poll that it answers; 0 when it was pushed.
+  std::uint64_t sequence = 0;  ///< Of the poll that it responds to; 0 when pushed.
   std::uint64_t base = 0;
   std::uint64_t version = 0;
   ConfigurationVersion configuration;
@@ -30,18 +30,18 @@
   std::vector<Service> services;  ///< New or changed.
   std::vector<ServiceName> removed_services;
   std::optional<CallerLimits> limits;  ///< When changed.
-  std::vector<Instance> instances;     ///< New or changed; those that are gone to be forgotten.
-  /// Changed spans in the order of their changes; each overrides what was known of its keys.
+  std::vector<Instance> instances;     ///< New or changed; ended ones are to be removed.
+  /// Changed spans in the order of their changes; each replaces earlier state of its keys.
   std::vector<KeyRange> ranges;
-  std::uint32_t routers = 0;  ///< Routers that share the group's budgets at present.
-  /// In the answer to a poll: the polling router's place among them, from 0 on, by their ids.
+  std::uint32_t routers = 0;  ///< Routers that currently share the group's budgets.
+  /// In the response to a poll: the polling router's rank among them by id, starting at 0.
   std::uint32_t router_place = 0;
-  std::optional<std::vector<SuspectRequest>> suspects;  ///< All of them, when any changed.
+  std::optional<std::vector<SuspectRequest>> suspects;  ///< All suspects, when any changed.
   TenancyUpdate tenancy;
-  /// In the answer to a poll: the internal address ("ip:port") of the control process from which
-  /// the polling router is to take the state; empty for the one that answers.
+  /// In the response to a poll: the internal address ("ip:port") of the control process that the
+  /// polling router is to use as its feed; empty for the responding process.
   std::string feed;
-  QuotaGrant quota;  ///< In the answer to a poll.
+  QuotaGrant quota;  ///< In the response to a poll.
 
   bool operator==(const TrafficUpdate&) const = default;
 };
@@ -50,7 +50,7 @@
                        removed_services, limits, instances, ranges, routers, router_place, suspects,
                        tenancy, feed, quota))
 
-/// Requests for one key through one router since its last poll.
+/// Requests for one key that one router received since its last poll.
 struct KeyLoad {
   std::uint32_t key = 0;
   std::uint32_t requests = 0;
@@ -59,7 +59,7 @@
 };
 BOOST_DESCRIBE_STRUCT(KeyLoad, (), (key, requests))
 
-/// The loads of a service's keys; keys without requests are left out.
+/// The loads of a service's keys; keys without requests are omitted.
 struct ServiceLoads {
   ServiceName service;
   std::vector<KeyLoad> keys;
@@ -68,21 +68,21 @@
 };
 BOOST_DESCRIBE_STRUCT(ServiceLoads, (), (service, keys))
 
-/// How fast one instance answered one router since that router's last poll: requests that found a
-/// free slot, so that their time tells of the instance and not of its queue.
+/// Latency and failure counts of one instance as seen by one router since that router's last poll.
+/// Latency covers only requests that found a free slot, so that it excludes queueing.
 struct InstanceSpeed {
   InstanceId instance;
-  std::uint32_t answers = 0;
-  std::uint64_t busy_us = 0;    ///< Sum of their times.
-  std::uint32_t whole = 0;      ///< Whole answers, also of requests that had to wait.
-  std::uint32_t failures = 0;   ///< Of those, the ones that tell of a failure of the instance.
-  std::uint32_t unreached = 0;  ///< Attempts that ended without a whole answer of the instance.
+  std::uint32_t answers = 0;    ///< Responses to requests that found a free slot.
+  std::uint64_t busy_us = 0;    ///< Sum of their latencies.
+  std::uint32_t whole = 0;      ///< Complete responses, including those to queued requests.
+  std::uint32_t failures = 0;   ///< Complete responses that indicate a failure of the instance.
+  std::uint32_t unreached = 0;  ///< Attempts that ended without a complete response.
 
   bool operator==(const InstanceSpeed&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(InstanceSpeed, (), (instance, answers, busy_us, whole, failures, unreached))
 
-/// Asks for what changed, and shows that the router lives.
+/// A router's request for changes, which also serves as its heartbeat.
 struct TrafficPoll {
   RouterId router;
   ZoneName zone;
@@ -90,14 +90,14 @@
   std::uint64_t version = 0;  ///< Log index of the state that the router has; 0 for none.
   std::vector<ServiceLoads> loads;
   std::vector<InstanceSpeed> speeds;
-  std::vector<LostAttempt> losses;        ///< Lately, some of them told before.
-  std::vector<AnsweredRequest> answered;  ///< Suspects that were answered lately.
-  /// Asks the leader for the state itself, as long as no feed keeps up.
+  std::vector<LostAttempt> losses;        ///< Recent ones; may repeat earlier reports.
+  std::vector<AnsweredRequest> answered;  ///< Suspects that recently got a response.
+  /// Requests the state from the leader itself, while no feed is up to date.
   bool wants_state = true;
-  std::uint32_t feeds_tried = 0;  ///< Feeds that did not keep up, or were not reached.
+  std::uint32_t feeds_tried = 0;  ///< Feeds that were out of date or unreachable.
   QuotaReport quota;
-  std::vector<InstanceLimit> limits;  ///< Heard of in answers since the last poll.
-  std::vector<InstanceRest> rests;    ///< Asked for since then.
+  std::vector<InstanceLimit> limits;  ///< Observed in responses since the last poll.
+  std::vector<InstanceRest> rests;    ///< Back-off periods requested since the last poll.
 
   bool operator==(const TrafficPoll&) const = default;
 };
@@ -105,12 +105,13 @@
                       (router, zone, sequence, version, loads, speeds, losses, answered,
                        wants_state, feeds_tried, quota, limits, rests))
 
-/// Asks a control process for the state and, as long as the connection stands, for its changes.
+/// Subscribes to a control process's traffic state: the state, then its changes for as long as the
+/// connection lasts.
 struct FeedRequest {
   RouterId router;
   std::uint64_t sequence = 0;
   std::uint64_t version = 0;  ///< Log index of the state that the router has; 0 for none.
-  bool ends = false;          ///< The router takes it from another process from now on.
+  bool ends = false;          ///< Unsubscribes: the router now uses another process.
 
   bool operator==(const FeedRequest&) const = default;
 };
--- a/src/traffic/configuration_store.cc
+++ b/src/traffic/configuration_store.cc
@@ -7,8 +7,10 @@
 namespace graniteseam::traffic {
 namespace {
 
-/// Changes of one day, several times over; a change that is older is no longer known when resent.
+/// Several times the number of changes in one day. An older change is not recognized when it is
+/// resent.
 constexpr std::size_t kAcceptedDigestsMaximum = 20'000;
+/// Ten minutes.
 constexpr std::int64_t kTimeoutMaximumMs = 600'000;
 
 boost::leaf::error_id Invalid(std::string message, std::string remedy) {
@@ -18,8 +20,8 @@
 Result<void> CheckRoute(const Route& route, const std::set<std::string>& services) {
   const std::string name = "Route " + route.name.value;
   if (!route.path_prefix.starts_with('/')) {
-    return Invalid(name + " has a path prefix without a slash at its start.",
-                   "Begin the prefix with a slash.");
+    return Invalid(name + " has a path prefix that does not start with a slash.",
+                   "Start the prefix with a slash.");
   }
   if (route.timeout_ms <= 0 || route.timeout_ms > kTimeoutMaximumMs) {
     return Invalid(name + " has a timeout outside of 1 ms to ten minutes.",
@@ -47,13 +49,13 @@
   BOOST_LEAF_CHECK(CheckNames(configuration.routes, "route"));
   std::set<std::string> services;
   for (const Service& service : configuration.services) services.insert(service.name.value);
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> matches;
   for (const Route& route : configuration.routes) {
     BOOST_LEAF_CHECK(CheckRoute(route, services));
-    if (!places.insert({route.host, route.path_prefix}).second) {
+    if (!matches.insert({route.host, route.path_prefix}).second) {
       return Invalid(
           "Two routes have the host " + route.host + " and the prefix " + route.path_prefix + ".",
-          "Give each route a place of its own.");
+          "Give each route its own combination of host and prefix.");
     }
   }
   return {};
@@ -64,9 +66,9 @@
   const std::string current = std::to_string(configuration_.version.value);
   if (change.base != configuration_.version) {
     return Fail(ErrorKind::kVersionConflict,
-                "The change builds on version " + std::to_string(change.base.value) +
+                "The change is based on version " + std::to_string(change.base.value) +
                     ", but version " + current + " is current.",
-                "Read the current configuration and build on it.");
+                "Read the current configuration and base the change on it.");
   }
   if (change.version <= configuration_.version) {
     return Invalid("Version " + std::to_string(change.version.value) +
@@ -96,7 +98,7 @@
 }
 
 bool ConfigurationStore::WasAccepted(const std::string& digest) const {
-  // A resend is nearly always of a late change.
+  // Searches the newest first: a resent change is nearly always a recent one.
   return std::find(accepted_digests_.rbegin(), accepted_digests_.rend(), digest) !=
          accepted_digests_.rend();
 }
--- a/src/traffic/configuration_store.h
+++ b/src/traffic/configuration_store.h
@@ -1,5 +1,5 @@
 /// @file
-/// The traffic configuration in force with its history: part of the replicated state.
+/// The current traffic configuration and its change history: part of the replicated state.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -16,10 +16,10 @@
 
 namespace graniteseam::traffic {
 
-/// All of a ConfigurationStore but its tenants, for snapshots.
+/// Snapshot of a ConfigurationStore without its tenants.
 struct ConfigurationImage {
   Configuration configuration;
-  std::vector<std::string> accepted_digests;  ///< From the oldest on.
+  std::vector<std::string> accepted_digests;  ///< Oldest first.
   std::vector<ItemVersion> route_versions;
   std::vector<ItemVersion> service_versions;
   std::vector<ItemVersion> removed_routes;
@@ -31,26 +31,28 @@
                       (configuration, accepted_digests, route_versions, service_versions,
                        removed_routes, removed_services, limits_changed_at, changed_at))
 
-/// Invariant: the version only grows, and each accepted version was built on the one before it.
+/// Holds the current configuration and applies changes by compare-and-set.
+///
+/// Invariant: the version only increases, and each accepted version is based on the previous one.
 /// Not thread safe.
 class ConfigurationStore {
  public:
-  /// Takes a change that builds on the current version and leaves a valid whole. One that was
-  /// accepted before is accepted again and changes nothing.
+  /// Applies a change that is based on the current version and results in a valid configuration.
+  /// A resent change that was accepted before succeeds without effect.
   /// @param log_index becomes the version of what changes.
-  /// @return kVersionConflict when another version is current, kInvalidArgument when the whole
-  ///     would be invalid; nothing has changed then.
+  /// @return kVersionConflict when another version is current, kInvalidArgument when the result
+  ///     would be invalid; the state is unchanged then.
   Result<void> Apply(const ConfigurationChange& change, std::uint64_t log_index);
 
   const Configuration& current() const { return configuration_; }
   const Tenancy& tenancy() const { return tenants_.current(); }
-  /// Log index of the newest change.
+  /// Log index of the last change.
   std::uint64_t changed_at() const { return changed_at_; }
 
-  /// Adds what changed after `base` to an update; everything when base is 0.
+  /// Adds the changes after `base` to an update; the whole state when `base` is 0.
   void AddChanges(std::uint64_t base, TrafficUpdate& update) const;
 
-  /// Without the tenants, which have an image of their own.
+  /// The snapshot without the tenants, which Tenants() returns.
   ConfigurationImage Image() const;
   void Restore(ConfigurationImage image);
   TenancyImage Tenants() const { return tenants_.Image(); }
@@ -72,8 +74,8 @@
   std::uint64_t changed_at_ = 0;
 };
 
-/// Checks all rules that a whole configuration must keep.
-/// @return kInvalidArgument naming the item and the remedy.
+/// Validates a whole configuration.
+/// @return kInvalidArgument with the name of the invalid item and the remedy.
 Result<void> CheckConfiguration(const Configuration& configuration);
 
 }  // namespace graniteseam::traffic
--- a/src/traffic/instance_table.cc
+++ b/src/traffic/instance_table.cc
@@ -6,30 +6,30 @@
 namespace graniteseam::traffic {
 namespace {
 
-/// Tombstones of instances that are gone; the oldest beyond this are forgotten.
+/// Number of tombstones kept; beyond it the oldest are evicted.
 constexpr std::size_t kTombstonesMaximum = 4'096;
-/// For which an instance counts as warming up when its zone is taken back, in ms. It may have
-/// become cold while it had nothing to do; its next heartbeats tell.
+/// How long an instance counts as warming up after the undrain of its zone, in ms. It may
+/// have gone cold while it was idle; its next heartbeats report the actual value.
 constexpr std::int64_t kUndrainWarmupMs = 3'000;
 
 }  // namespace
 
 InstanceId MakeInstanceId(std::string_view name, std::int64_t started_at_ms) {
-  InstanceId life{std::string(name)};
-  if (started_at_ms > 0) life.value += kStartTimeSeparator + std::to_string(started_at_ms);
-  return life;
+  InstanceId id{std::string(name)};
+  if (started_at_ms > 0) id.value += kStartTimeSeparator + std::to_string(started_at_ms);
+  return id;
 }
 
-std::string_view ServerNameOf(const InstanceId& life) {
-  return std::string_view(life.value).substr(0, life.value.find(kStartTimeSeparator));
+std::string_view ServerNameOf(const InstanceId& id) {
+  return std::string_view(id.value).substr(0, id.value.find(kStartTimeSeparator));
 }
 
-std::int64_t StartTimeMsOf(const InstanceId& life) {
-  const std::size_t separator = life.value.find(kStartTimeSeparator);
+std::int64_t StartTimeMsOf(const InstanceId& id) {
+  const std::size_t separator = id.value.find(kStartTimeSeparator);
   if (separator == std::string::npos) return 0;
   std::int64_t started_at_ms = 0;
-  const char* const end = life.value.data() + life.value.size();
-  std::from_chars(life.value.data() + separator + 1, end, started_at_ms);
+  const char* const end = id.value.data() + id.value.size();
+  std::from_chars(id.value.data() + separator + 1, end, started_at_ms);
   return started_at_ms;
 }
 
@@ -43,11 +43,11 @@
   first.report = report;
   first.state = StateOf(report);
   const Instance* const newest = NewestIncarnation(report.id);
-  // A life that began earlier than one that is known: its heartbeat is late.
+  // An incarnation older than the newest one: its heartbeat is late.
   if (newest != nullptr && StartTimeMsOf(report.id) < StartTimeMsOf(newest->report.id)) {
     first.state = InstanceState::kDisplaced;
   }
-  // Its name was deregistered before any of its lives was heard of: it was this one.
+  // The server name was deregistered before any incarnation registered, which means this one.
   const Instance* const tombstone = Find({std::string(ServerNameOf(report.id))});
   const bool ended = tombstone != nullptr && tombstone->state == InstanceState::kDeregistered;
   if (ended && newest == nullptr) first.state = InstanceState::kDeregistered;
@@ -60,20 +60,20 @@
   Instance next;
   next.report = report;
   next.state = StateOf(report);
-  // The sequence alone does not tell a late heartbeat: those that changed nothing were not kept.
+  // The sequence identifies only some late heartbeats: those without changes were not stored.
   const bool late = report.sequence <= known->report.sequence;
   if (known->state == InstanceState::kDeregistered || late) return std::nullopt;
   const bool displaced = known->state == InstanceState::kDisplaced;
   if (displaced && FindByAddress(report.address) != nullptr) {
-    // It stays what it is; only that it drains must not be forgotten.
+    // It stays displaced; only the draining flag must be kept.
     if (!report.draining || known->report.draining) return std::nullopt;
     next.state = InstanceState::kDisplaced;
     return next;
   }
   next.report.draining = report.draining || known->report.draining;
   if (next.report.draining) next.state = InstanceState::kDraining;
-  // Sequence and the time of a warm-up change with every heartbeat and tell nothing new; whether
-  // the instance warms up at all does.
+  // The sequence and the remaining warm-up time change with every heartbeat, so they are ignored;
+  // whether the instance is warming up at all counts as a change.
   InstanceReport same = next.report;
   same.sequence = known->report.sequence;
   const bool warms_up = same.warmup_left_ms > 0;
@@ -101,8 +101,8 @@
     RecordIncarnation(report.id);
     return changed;
   }
-  // An address belongs to one process at a time, and a name to one life: whoever had them before
-  // has ended.
+  // An address belongs to one process at a time and a server name to one incarnation, so previous
+  // holders have ended.
   Displace(FindByAddress(report.address), report.id, log_index, changed);
   Displace(NewestIncarnation(report.id), report.id, log_index, changed);
   RecordIncarnation(report.id);
@@ -165,11 +165,11 @@
 bool InstanceTable::Deregister(const InstanceId& id, std::uint64_t log_index) {
   const Instance* const newest = NewestIncarnation(id);
   const bool by_name = newest != nullptr && StartTimeMsOf(id) == 0;
-  const InstanceId life = by_name ? newest->report.id : id;
-  Instance& instance = instances_[life];
+  const InstanceId target = by_name ? newest->report.id : id;
+  Instance& instance = instances_[target];
   if (instance.state == InstanceState::kDeregistered) return false;
   RemoveFromAddressIndex(instance.report);
-  instance.report.id = life;
+  instance.report.id = target;
   instance.state = InstanceState::kDeregistered;
   instance.changed_at = log_index;
   changed_at_ = log_index;
@@ -202,10 +202,10 @@
   const auto oldest = std::min_element(
       gone.begin(), gone.end(),
       [](const Instance* a, const Instance* b) { return a->changed_at < b->changed_at; });
-  const InstanceId forgotten = (*oldest)->report.id;
-  instances_.erase(forgotten);
-  const auto newest = newest_incarnations_.find(std::string(ServerNameOf(forgotten)));
-  if (newest != newest_incarnations_.end() && newest->second == forgotten)
+  const InstanceId evicted = (*oldest)->report.id;
+  instances_.erase(evicted);
+  const auto newest = newest_incarnations_.find(std::string(ServerNameOf(evicted)));
+  if (newest != newest_incarnations_.end() && newest->second == evicted)
     newest_incarnations_.erase(newest);
 }
 
--- a/src/traffic/item_history.h
+++ b/src/traffic/item_history.h
@@ -1,5 +1,5 @@
 /// @file
-/// Named items of the configuration: lists of them, and when each last changed.
+/// Helpers for lists of named configuration items, and the history of their changes.
 #pragma once
 
 #include <algorithm>
@@ -14,14 +14,14 @@
 
 namespace graniteseam::traffic {
 
-/// When an item of the configuration last changed.
+/// Name and last change of a configuration item.
 struct ItemVersion {
   std::string name;
-  std::uint64_t changed_at = 0;
+  std::uint64_t changed_at = 0;  ///< Log index of the change or removal.
 };
 BOOST_DESCRIBE_STRUCT(ItemVersion, (), (name, changed_at))
 
-/// Replaces the item of the same name, or adds it at the end.
+/// Replaces the item of the same name, or appends it.
 template <class Item>
 void PutItem(std::vector<Item>& items, const Item& item) {
   const auto found = std::find_if(items.begin(), items.end(),
@@ -33,6 +33,7 @@
   }
 }
 
+/// Removes the items with these names; unknown names are ignored.
 template <class Item, class Name>
 void RemoveItems(std::vector<Item>& items, const std::vector<Name>& names) {
   std::erase_if(items, [&](const Item& item) {
@@ -40,7 +41,9 @@
   });
 }
 
-/// @return kInvalidArgument when an item has no name, or two have the same.
+/// Checks that each item has a unique, non-empty name.
+/// @param what the kind of item, for error messages.
+/// @return kInvalidArgument with the offending name.
 template <class Item>
 Result<void> CheckNames(const std::vector<Item>& items, const char* what) {
   std::set<std::string> names;
@@ -51,22 +54,22 @@
     }
     if (!names.insert(item.name.value).second) {
       return Fail(ErrorKind::kInvalidArgument,
-                  std::string("Two items are the ") + what + " " + item.name.value + ".",
-                  "Name each item once.");
+                  std::string("The ") + what + " " + item.name.value + " is listed twice.",
+                  "List each item once.");
     }
   }
   return {};
 }
 
-/// When the items of one kind changed, and which were removed when. An item that is sent on goes
-/// without its source.
+/// Records when the items of one kind were changed or removed, to send only the changes to routers.
+/// Items are sent with an empty `source`.
 class ItemHistory {
  public:
   ItemHistory() = default;
   ItemHistory(const std::vector<ItemVersion>& changed, const std::vector<ItemVersion>& removed)
       : changed_at_(ToMap(changed)), removed_at_(ToMap(removed)) {}
 
-  /// Notes what differs between two lists of items, so that only that is sent on.
+  /// Records the differences between two lists of items as changes at `log_index`.
   template <class Item>
   void NoteChanges(const std::vector<Item>& before, const std::vector<Item>& after,
                    std::uint64_t log_index) {
@@ -86,7 +89,7 @@
     }
   }
 
-  /// Adds the items that changed after `base`.
+  /// Appends the items that changed after `base`, without their sources.
   template <class Item>
   void AddChanged(const std::vector<Item>& items, std::uint64_t base,
                   std::vector<Item>& added) const {
@@ -97,7 +100,7 @@
     }
   }
 
-  /// Adds the names that were removed after `base`; none to a whole.
+  /// Appends the names that were removed after `base`; none when `base` is 0.
   template <class Name>
   void AddRemoved(std::uint64_t base, std::vector<Name>& added) const {
     if (base == 0) return;
--- a/src/traffic/key_range_table.cc
+++ b/src/traffic/key_range_table.cc
@@ -60,7 +60,7 @@
   range->owner = assignment.owner;
   range->successor = {};
   range->handover = assignment.handover;
-  // The log's index is above every fence given before.
+  // The log index is greater than all earlier fences.
   range->fence = Fence{log_index};
   return true;
 }
@@ -76,7 +76,7 @@
   range->phase = RangePhase::kReleasing;
   range->successor = release.successor;
   range->handover.clear();
-  // Above all grants on their way, so that the server refuses those that arrive late.
+  // Greater than the fence of any grant in transit, so that the server rejects late grants.
   range->fence = Fence{log_index};
   return true;
 }
@@ -94,7 +94,7 @@
   return true;
 }
 
-/// Joins a serving range with equal neighbours: fewer ranges are fewer renewals.
+/// Merges a serving range with neighbours of the same owner and fence, to renew fewer ranges.
 void KeyRangeTable::MergeNeighbours(const ServiceName& service, std::uint32_t first) {
   Ranges& ranges = services_.at(service);
   const auto joins = [](const KeyRange& a, const KeyRange& b) {
@@ -121,8 +121,8 @@
     for (const auto& [first, range] : ranges) {
       if (range.changed_at <= base) continue;
       KeyRange& sent = changed.emplace_back(range);
-      // Nobody is asked for the keys but an owner that serves them. Each range goes to each router:
-      // what it does without is most of a range's bytes.
+      // Routers send requests only to a serving owner. Each range is sent to each router, and the
+      // omitted fields are most of a range's encoded size.
       sent.handover.clear();
       sent.successor = {};
       if (range.phase != RangePhase::kServing) sent.owner = {};
--- a/src/traffic/suspect_table.cc
+++ b/src/traffic/suspect_table.cc
@@ -6,7 +6,7 @@
 namespace graniteseam::traffic {
 namespace {
 
-/// Each takes about 100 bytes in every router and every message that tells the whole.
+/// Each takes about 100 bytes in every router and in every message with the whole list.
 constexpr std::size_t kSuspectsMaximum = 256;
 
 }  // namespace
@@ -46,13 +46,15 @@
 
 void SuspectTable::EvictOldest() {
   if (suspects_.size() <= kSuspectsMaximum) return;
-  // A quarantined one would end further servers before it is known again.
-  const auto place = [](const SuspectRequest& suspect) {
+  // Quarantined entries go last: once evicted, such a request would end further servers before it
+  // is quarantined again.
+  const auto eviction_rank = [](const SuspectRequest& suspect) {
     return std::pair(suspect.Quarantined(), suspect.changed_at);
   };
-  const auto oldest = std::min_element(
-      suspects_.begin(), suspects_.end(),
-      [&](const auto& a, const auto& b) { return place(a.second) < place(b.second); });
+  const auto oldest =
+      std::min_element(suspects_.begin(), suspects_.end(), [&](const auto& a, const auto& b) {
+        return eviction_rank(a.second) < eviction_rank(b.second);
+      });
   suspects_.erase(oldest);
 }
 
--- a/src/traffic/suspect_table.h
+++ b/src/traffic/suspect_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// The requests under which instances ended: part of the replicated state.
+/// The suspect requests, while running which instances ended: part of the replicated state.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -11,28 +11,30 @@
 
 namespace graniteseam::traffic {
 
-/// All of a SuspectTable, for snapshots.
+/// Snapshot of a SuspectTable.
 struct SuspectImage {
   std::vector<SuspectRequest> suspects;
   std::uint64_t changed_at = 0;
 };
 BOOST_DESCRIBE_STRUCT(SuspectImage, (), (suspects, changed_at))
 
-/// Replicated, so that neither a new leader nor a router that starts again lets a request through
-/// which has ended its servers. Bounded: the ones that changed longest ago are forgotten, and
-/// quarantined ones after all others. Not thread safe.
+/// The suspect requests. They are replicated so that neither a new leader nor a restarted router
+/// admits a request that has ended its servers. Bounded: the entry with the oldest change is
+/// evicted first, quarantined entries after all others. Not thread safe.
 class SuspectTable {
  public:
+  /// Inserts or replaces entries; evicts the oldest beyond the limit.
   void Record(const std::vector<SuspectRequest>& suspects, std::uint64_t log_index);
+  /// Removes entries; unknown digests are ignored.
   void Clear(const std::vector<RequestDigest>& digests, std::uint64_t log_index);
 
-  /// @return null when the request is not suspected.
+  /// @return null when the request is not a suspect.
   const SuspectRequest* Find(RequestDigest digest) const;
   const std::map<RequestDigest, SuspectRequest>& suspects() const { return suspects_; }
-  /// Log index of the newest change.
+  /// Log index of the last change.
   std::uint64_t changed_at() const { return changed_at_; }
 
-  /// All suspects; there are few, so that routers are told the whole.
+  /// All suspects. There are few, so updates to routers always contain the whole list.
   std::vector<SuspectRequest> All() const;
 
   SuspectImage Image() const { return {All(), changed_at_}; }
--- a/src/traffic/tenant_store.cc
+++ b/src/traffic/tenant_store.cc
@@ -14,10 +14,10 @@
 }
 
 Result<void> CheckQuota(const Tenant& tenant) {
-  const auto sound = [](double number) { return std::isfinite(number) && number >= 0; };
-  if (sound(tenant.quota.rate_per_second) && sound(tenant.quota.burst)) return {};
-  return Invalid(tenant, "has a rate or a burst below 0",
-                 "Use numbers of 0 or more; 0 stands for no limit.");
+  const auto valid = [](double number) { return std::isfinite(number) && number >= 0; };
+  if (valid(tenant.quota.rate_per_second) && valid(tenant.quota.burst)) return {};
+  return Invalid(tenant, "has a rate or a burst that is negative or not finite",
+                 "Use finite numbers of 0 or more; a rate of 0 means no limit.");
 }
 
 }  // namespace
@@ -31,7 +31,7 @@
   next.anonymous_routes.insert(change.tenancy.anonymous_routes.begin(),
                                change.tenancy.anonymous_routes.end());
   if (change.whole) {
-    // As sent: that a name stands twice is for CheckTenancy() to find.
+    // Copied as sent, so that CheckTenancy() detects duplicate names.
     next.tenants = change.tenancy.tenants;
     return next;
   }
@@ -48,7 +48,8 @@
     for (const KeyDigest& key : tenant.keys) {
       const auto [holder, first] = holders.emplace(key, &tenant);
       if (!first && holder->second != &tenant) {
-        return Invalid(tenant, "has a key that tenant " + holder->second->name.value + " has too",
+        return Invalid(tenant,
+                       "has an API key that tenant " + holder->second->name.value + " has too",
                        "Give each key to one tenant.");
       }
     }
--- a/src/traffic/tenant_store.h
+++ b/src/traffic/tenant_store.h
@@ -1,6 +1,5 @@
 /// @file
-/// The tenants of the configuration in force, and when each last changed: part of the replicated
-/// state.
+/// The tenants of the current configuration and their change history: part of the replicated state.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -15,17 +14,18 @@
 
 namespace graniteseam::traffic {
 
-/// Who may send requests by one configuration.
+/// The rules of one configuration for which callers may send requests.
 struct Tenancy {
   bool keys_required = false;
   std::vector<Tenant> tenants;
   std::set<RouteName> anonymous_routes;
 
-  /// What a change makes of it. Routes that it names are anonymous just when it says so.
+  /// The result of applying a change. A route that the change contains is anonymous only if the
+  /// change lists it as such.
   Tenancy Changed(const ConfigurationChange& change) const;
 };
 
-/// All of a TenantStore, for snapshots.
+/// Snapshot of a TenantStore.
 struct TenancyImage {
   bool keys_required = false;
   std::vector<Tenant> tenants;
@@ -36,20 +36,20 @@
 BOOST_DESCRIBE_STRUCT(TenancyImage, (),
                       (keys_required, tenants, anonymous_routes, tenant_versions, removed_tenants))
 
-/// Checks what holds for the tenants of one configuration: names, quotas, and that no key belongs
-/// to two of them.
-/// @return kInvalidArgument naming the tenant and the remedy, never a key.
+/// Validates the tenants of one configuration: unique names, valid quotas, and no key that belongs
+/// to two tenants.
+/// @return kInvalidArgument with the tenant's name and the remedy, never with a key.
 Result<void> CheckTenancy(const Tenancy& tenancy);
 
-/// Not thread safe.
+/// The current tenants and their change history. Not thread safe.
 class TenantStore {
  public:
-  /// @param next was checked.
+  /// @param next must have passed CheckTenancy().
   void Replace(Tenancy next, std::uint64_t log_index);
 
   const Tenancy& current() const { return tenancy_; }
 
-  /// Adds what changed after `base` to an update that has its routes already.
+  /// Adds the changes after `base` to an update whose routes are already filled in.
   void AddChanges(std::uint64_t base, TrafficUpdate& update) const;
 
   TenancyImage Image() const;
--- a/src/traffic/traffic_state.cc
+++ b/src/traffic/traffic_state.cc
@@ -28,9 +28,10 @@
 Result<void> TrafficState::DrainZone(const ZoneName& zone, bool drained, std::uint64_t log_index) {
   const bool known = instances_.drained_zones().contains(zone);
   if (drained && !known && instances_.WouldDrainLastReadyZone(zone)) {
-    return Fail(ErrorKind::kFailedPrecondition,
-                "No instance outside of zone " + zone.value + " takes work.",
-                "Take another zone back first.");
+    return Fail(
+        ErrorKind::kFailedPrecondition,
+        "Zone " + zone.value + " can't be drained: no instance in another zone takes new work.",
+        "Undrain another zone first.");
   }
   instances_.DrainZone(zone, drained, log_index);
   return {};
--- a/src/traffic/traffic_state.h
+++ b/src/traffic/traffic_state.h
@@ -1,6 +1,5 @@
 /// @file
-/// The replicated state of traffic: configuration, instances, key ranges and
-/// suspects behind one class.
+/// The replicated traffic state: configuration, instances, key ranges and suspects.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -16,37 +15,42 @@
 
 namespace graniteseam::traffic {
 
-/// All of a TrafficState, for snapshots.
+/// Snapshot of a TrafficState without suspects, drained zones and tenants.
 struct TrafficImage {
   ConfigurationImage configuration;
   std::vector<Instance> instances;
   std::vector<KeyRange> ranges;
-  std::uint64_t version = 0;
+  std::uint64_t version = 0;  ///< TrafficState::version() at the time of the snapshot.
 };
 BOOST_DESCRIBE_STRUCT(TrafficImage, (), (configuration, instances, ranges, version))
 
-/// The zones that operators drain, for snapshots.
+/// Snapshot of the zones that operators have drained.
 struct ZoneDrainImage {
   std::vector<ZoneName> zones;
 };
 BOOST_DESCRIBE_STRUCT(ZoneDrainImage, (), (zones))
 
-/// Deterministic; changed only by entries of the log, whose index becomes the version. Not thread
-/// safe.
+/// Combines the tables of the traffic state. Deterministic; changed only by log entries, whose
+/// index becomes the version. Not thread safe.
 class TrafficState {
  public:
   /// @return errors of ConfigurationStore::Apply().
   Result<void> Apply(const ConfigurationChange& change, std::uint64_t log_index);
+  /// Applies committed heartbeats.
   void Report(const std::vector<InstanceReport>& reports, std::uint64_t log_index);
+  /// Marks an instance as deregistered; see InstanceTable::Deregister().
   void Deregister(const InstanceId& id, std::uint64_t log_index);
-  /// Drains a zone, or takes it back; the same again changes nothing.
-  /// @return kFailedPrecondition when no instance of another zone takes work: a drain moves work
-  /// elsewhere, and is no way to stop the service.
+  /// Drains or undrains a zone; idempotent.
+  /// @return kFailedPrecondition when no instance of another zone takes work. A drain moves work to
+  /// other zones; it must not stop the service.
   Result<void> DrainZone(const ZoneName& zone, bool drained, std::uint64_t log_index);
+  /// Apply changes of key ranges. Each one whose fence does not match is skipped; see
+  /// KeyRangeTable.
   void Assign(const std::vector<RangeAssignment>& assignments, std::uint64_t log_index);
   void BeginReleases(const std::vector<RangeRelease>& releases, std::uint64_t log_index);
   void Confirm(const std::vector<RangeConfirmation>& confirmations, std::uint64_t log_index);
 
+  /// Change the suspect requests; see SuspectTable.
   void RecordSuspects(const std::vector<SuspectRequest>& suspects, std::uint64_t log_index) {
     suspects_.Record(suspects, log_index);
   }
@@ -59,22 +63,22 @@
   const KeyRangeTable& ranges() const { return ranges_; }
   const SuspectTable& suspects() const { return suspects_; }
 
-  /// Whether the instances of a service are given their keys in answers to their heartbeats.
+  /// Whether the service's key leases are granted in the responses to heartbeats.
   bool LeasedByHeartbeat(const ServiceName& service) const;
 
-  /// Log index of the newest change; 0 when nothing ever changed.
+  /// Log index of the last change; 0 before the first.
   std::uint64_t version() const;
 
-  /// Instances and ranges: what an update is searched in.
+  /// Number of instances and ranges, which an update has to scan.
   std::size_t item_count() const;
 
-  /// Log index of the newest change that routers must know at once.
+  /// Log index of the last change that must reach routers without delay.
   std::uint64_t urgent_version() const;
 
-  /// What changed after `base`, or the whole state when base is 0 or unknown here.
+  /// The changes after `base`, or the whole state when `base` is 0 or newer than this state.
   TrafficUpdate UpdateSince(std::uint64_t base) const;
 
-  /// Without the suspects, the drained zones and the tenants, which have images of their own.
+  /// The snapshot without suspects, drained zones and tenants, which have their own.
   TrafficImage Image() const;
   ZoneDrainImage ZoneDrains() const;
   void Restore(TrafficImage image);
@@ -83,8 +87,8 @@
   void Restore(const TenancyImage& image) { configuration_.Restore(image); }
 
  private:
-  /// A service that became keyed gets its keys. They are kept when it is dropped: its servers may
-  /// hold grants for some time, and the service may come back.
+  /// Adds the key ranges of services that became keyed. The ranges are kept when a service is
+  /// removed, since its servers may hold grants for some time and the service may be added again.
   void AddKeyedServices(std::uint64_t log_index);
 
   ConfigurationStore configuration_;
