--- a/include/graniteseam/lease/fenced_owner.h
+++ b/include/graniteseam/lease/fenced_owner.h
@@ -1,5 +1,5 @@
 /// @file
-/// The server's side of ownership: decides whether a request may run. Usable by any server program
+/// The server side of ownership: decides whether a request may run. Any server program can use it
 /// without the daemons.
 #pragma once
 
@@ -15,39 +15,44 @@
 
 namespace graniteseam::lease {
 
-/// Holds one server's grants and answers lease requests.
+/// Holds one server's lease and shard grants, and answers lease requests.
 ///
 /// Invariant: between Begin() and a successful Commit() of one request, this server held the shard
-/// at the request's epoch under a lease that had not run out at the instant of Commit().
-/// Not thread safe; a server guards it by a lock or calls it from one thread.
+/// at the request's epoch under a lease that had not expired at the instant of Commit().
+/// Not thread safe; a server guards it with a lock or calls it from one thread.
 class FencedOwner {
  public:
-  /// @param incarnation must differ from that of every earlier start of this server.
+  /// @param incarnation must differ from those of all earlier starts of this server.
   FencedOwner(ServerId server, Incarnation incarnation);
 
-  /// Takes a control leader's message and says what is now held.
+  /// Applies a control leader's request.
+  /// @return the resulting state, with `accepted` false when the request was rejected.
   LeaseAnswer Take(const LeaseRequest& request, Instant now);
 
-  /// Asks to start a request for a shard.
-  /// @return kNotOwner (nothing ran, tell "not run") when the shard is not held at this epoch, is
-  ///     being revoked, or the lease is over.
+  /// Starts a request for a shard. Each success must be followed by End().
+  /// @return kNotOwner when the shard is not held at this epoch or is being revoked, or when the
+  ///     lease has expired. Nothing ran, so the caller answers "not run".
   Result<void> Begin(const ShardGrant& grant, Instant now);
 
-  /// Asks, at the point where the effect becomes durable, whether it still may. The caller must
-  /// answer "outcome unknown" or undo on kNotOwner.
+  /// Checks, at the point where a request's effect becomes durable, that the shard is still owned.
+  /// @return kNotOwner when it is not; the caller must answer "outcome unknown" or undo the effect.
   Result<void> Commit(const ShardGrant& grant, Instant now) const;
 
-  /// Ends a request begun before, whatever came of it. Releases a revoked shard with its last one.
+  /// Ends a request started with Begin(), whatever its outcome. A revoked shard is released when
+  /// its last request ends.
   void End(const ShardGrant& grant);
 
-  /// Asks whether a request of a pooled service may start: the lease must be valid.
+  /// Checks whether a request of a pooled service may start.
+  /// @return kNotOwner when the lease has expired.
   Result<void> BeginPooled(Instant now) const;
 
+  /// Sets whether the answers ask the leader to drain this server.
   void SetLeaving(bool leaving) { leaving_ = leaving; }
   bool LeaseValid(Instant now) const;
+  /// End of the lease, exclusive.
   Instant lease_end() const { return valid_until_; }
   Incarnation incarnation() const { return incarnation_; }
-  /// The shards that may take new requests while the lease is valid.
+  /// The shards that accept new requests while the lease is valid.
   std::vector<ShardGrant> Held() const;
 
  private:
--- a/include/graniteseam/lease/lease_table.h
+++ b/include/graniteseam/lease/lease_table.h
@@ -1,6 +1,6 @@
 /// @file
-/// The control leader's side of server leases: whom to renew, when a lease is over for certain, and
-/// which revoked shards were released. See docs/design/leases-and-fencing.md.
+/// The control leader's side of server leases: which leases to renew, when a lease has certainly
+/// expired, and which revoked shards were released. See docs/design/leases-and-fencing.md.
 #pragma once
 
 #include <cstdint>
@@ -15,26 +15,27 @@
 
 namespace graniteseam::lease {
 
-/// Tunables of the leader's side.
+/// Settings of a LeaseTable.
 struct LeaseTableOptions {
-  /// Rate by which two machines' clocks may differ.
+  /// Upper bound of the relative drift between two machines' clocks.
   double clock_drift_bound = 0.001;
-  /// How often a server is asked that has revoked shards to release.
+  /// How often a server with unreleased revoked shards is polled.
   Duration release_poll_interval{10'000};
-  /// Exchanges with a server in one lease length. A grant is dated from the reading of the exchange
-  /// before, so a server's lease lies between (n - 2) / n and (n - 1) / n of its length while all
-  /// goes well. Six leaves two thirds of a lease to elect a new leader and greet the server.
+  /// Message exchanges with a server per lease duration. A grant counts from the clock reading of
+  /// the previous exchange, so in normal operation the remaining lease is between (n - 2) / n and
+  /// (n - 1) / n of its duration. Six leaves two thirds of a lease to elect a new leader and
+  /// exchange the first messages with the server.
   int renewals_per_lease = 6;
 };
 
-/// All shards of one server, as the leader's state has them.
+/// All shards of one server according to the leader's state.
 struct ShardSet {
   std::vector<ShardGrant> grants;
-  std::vector<ShardGrant> revocations;  ///< Those whose release is awaited.
+  std::vector<ShardGrant> revocations;  ///< Shards whose release is pending.
 };
 
-/// An incarnation that answered and is granted nothing: it may be registered once no other
-/// incarnation of its server can hold a lease.
+/// An incarnation that answered while it is not granted anything. It may be registered once no
+/// other incarnation of its server can hold a lease.
 struct UnleasedIncarnation {
   ServerId server;
   Incarnation incarnation;
@@ -42,7 +43,7 @@
   bool operator==(const UnleasedIncarnation&) const = default;
 };
 
-/// A revoked shard that its owner no longer runs anything for.
+/// A revoked shard for which its former owner has no more requests running.
 struct Release {
   ServerId server;
   ShardGrant grant;
@@ -50,20 +51,20 @@
   bool operator==(const Release&) const = default;
 };
 
-/// The sessions of one leader in one term.
+/// The lease sessions of one leader in one term.
 ///
 /// Lifecycle: constructed when the leader is established in its term, with every session that an
-/// earlier leader may have kept alive (AddLeased); dropped with the leadership. The caller must
-/// pass events and call Advance() only while it holds its leader lease: that is what makes a paused
-/// or cut-off leader's readings older than the next leader's election.
+/// earlier leader may have renewed (AddLeased()); destroyed with the leadership. The caller must
+/// pass events and call Advance() only while it holds its leader lease. This ensures that the clock
+/// readings of a paused or partitioned leader are older than the next leader's election.
 ///
 /// Invariant: a session is reported as expired only when no grant of this or an earlier leader can
 /// still be valid on that server's own clock.
-/// Work per call is in proportion to the sessions that are due, not to all sessions or shards.
-/// Deterministic; not thread safe; `now` never goes back.
+/// The cost of a call is proportional to the sessions that are due, not to all sessions or shards.
+/// Deterministic; not thread safe; `now` never decreases.
 class LeaseTable {
  public:
-  /// Reads the whole shard set of a server, for the first grant to it and after a mismatch.
+  /// Returns the whole shard set of a server, for its first grant and after a version mismatch.
   using ShardSetSource = std::function<ShardSet(const ServerId&)>;
 
   /// @param term the leader's term; with a counter it orders all messages to servers.
@@ -71,90 +72,93 @@
   LeaseTable(LeaseTableOptions options, Term term, std::uint64_t numbers_used,
              ShardSetSource shard_sets);
 
-  /// Adds a server that may hold a lease of an earlier leader. It counts as renewed at `now`.
+  /// Adds a server that may hold a lease from an earlier leader, and treats it as renewed at `now`.
   /// @param longest_lease the longest lease that any earlier leader may have granted it.
   void AddLeased(const ServerId& server, Incarnation incarnation, Duration lease,
                  Duration longest_lease, Instant now);
 
-  /// Adds a server that certainly holds no lease; it is greeted until it answers. No effect on a
-  /// known one but for the lease length of its next grants.
+  /// Adds a server that certainly holds no lease; it is sent hellos. For a known server, this only
+  /// sets the lease duration of its next grants.
   void AddUnleased(const ServerId& server, Duration lease, Instant now);
 
-  /// Stops talking to a server that holds no lease.
+  /// Ends the session of a server that holds no lease.
   void Remove(const ServerId& server);
 
-  /// Begins to grant leases to a server, at an incarnation that was committed as the only one.
+  /// Begins to grant leases to a server, at the incarnation that was committed as its only one.
   void Admit(const ServerId& server, Incarnation incarnation, Instant now);
 
-  /// Ends an expired session, once its loss is committed. The server is greeted anew.
+  /// Resets an expired session once the loss is committed. The server is sent hellos again.
   void Dismiss(const ServerId& server, Instant now);
 
-  /// Tells that a shard was given to a server: its next message carries the grant. Whoever was
-  /// asked to release the shard is no longer waited for.
+  /// Adds a shard to a server's set; the next message to the server carries the grant. A pending
+  /// release of the shard by another server is no longer awaited.
   void Grant(const ServerId& server, const ShardGrant& grant, Instant now);
 
-  /// Tells that a server is to release a shard.
+  /// Revokes a shard; the next message to the server requests its release.
   void Revoke(const ServerId& server, const ShardGrant& grant, Instant now);
 
-  /// Takes a server's answer. Late, repeated or foreign ones are harmless.
+  /// Processes a server's answer. Late or repeated answers, and answers to other leaders, have no
+  /// effect.
   void Take(const LeaseAnswer& answer, Instant now);
 
-  /// Lets time pass. @return the messages to send now.
+  /// Expires sessions that are due. @return the messages to send now.
   std::vector<LeaseRequest> Advance(Instant now);
 
-  /// When Advance() has something to do next.
+  /// When Advance() is next due; the greatest instant without sessions.
   Instant NextAdvance() const;
 
-  /// Sessions whose lease is over for certain and that have not been dismissed or admitted yet.
+  /// Servers whose lease has certainly expired and that were not dismissed or admitted since.
   const std::set<ServerId>& expired() const { return expired_; }
-  /// The incarnation that answers in place of the one that a session was opened with, if one does.
+  /// The incarnation that currently answers in place of the session's one, if any.
   std::optional<Incarnation> Successor(const ServerId& server, Instant now) const;
-  /// Servers without a lease, and restarted ones, that answered since the last call.
+  /// Returns and clears the incarnations without a lease, including restarted servers, that
+  /// answered since the last call.
   std::vector<UnleasedIncarnation> TakeUnleasedIncarnations();
-  /// Releases seen since the last call, each once.
+  /// Returns and clears the releases since the last call, without duplicates.
   std::vector<Release> TakeReleases();
-  /// Servers whose word about leaving changed since the last call.
+  /// Returns and clears the changes of servers' `leaving` flags since the last call.
   std::vector<std::pair<ServerId, bool>> TakeLeavingChanges();
 
-  /// Whether the server answered lately enough that giving it shards makes sense.
+  /// Whether the server answered recently enough, within half a lease, to be assigned shards.
   bool Healthy(const ServerId& server, Instant now) const;
   bool HasSession(const ServerId& server) const { return sessions_.contains(server); }
-  /// Whether the server certainly holds no lease and is only greeted.
+  /// Whether the server certainly holds no lease and is only sent hellos.
   bool IsUnleased(const ServerId& server) const;
-  /// How long the lease may still be valid at the server, at most; zero without one.
+  /// Upper bound of the remaining lease at the server; zero without a lease.
   Duration Remaining(const ServerId& server, Instant now) const;
-  /// The server's last word on its load, 0 idle to 1 full.
+  /// The load that the server last reported, 0 idle to 1 full.
   double LoadHint(const ServerId& server) const;
   std::size_t size() const { return sessions_.size(); }
-  /// Numbers given to messages and shard sets so far.
+  /// Sequence numbers used for messages and shard sets so far.
   std::uint64_t numbers_used() const { return last_number_; }
 
  private:
   enum class State {
-    kUnleased,  ///< Holds no lease; answers are appearances.
-    kLeased,    ///< May hold a lease up to `expires_at`.
-    kExpired,   ///< Its lease is over; waits for Dismiss() or Admit().
+    kUnleased,  ///< Holds no lease; its answers become UnleasedIncarnation entries.
+    kLeased,    ///< May hold a lease until `expires_at`.
+    kExpired,   ///< Its lease has expired; waits for Dismiss() or Admit().
   };
+  /// A change of a server's shard set that the server has not confirmed.
   struct Change {
-    std::uint64_t version = 0;  ///< Shard-set version that it leads to.
+    std::uint64_t version = 0;  ///< Shard-set version after the change.
     ShardGrant grant;
     bool revoked = false;
   };
   struct Session {
     State state = State::kUnleased;
-    Incarnation incarnation;               ///< While leased: the only one that is granted anything.
-    std::optional<Incarnation> successor;  ///< Another one that answers while leased.
+    Incarnation incarnation;               ///< While leased: the only one with grants.
+    std::optional<Incarnation> successor;  ///< Another one that answered while leased.
     Duration lease{};
-    Instant expires_at{};              ///< From then on no grant of ours is valid.
-    std::optional<Instant> reading;    ///< Newest, on the server's clock.
-    Instant reading_received{};        ///< Ours.
+    Instant expires_at{};              ///< No grant is valid from then on.
+    std::optional<Instant> reading;    ///< Newest reading of the server's clock.
+    Instant reading_received{};        ///< On the leader's clock.
     std::uint64_t answered = 0;        ///< Sequence of the newest message answered.
     std::uint64_t last_sent = 0;       ///< Sequence of the newest message sent.
-    Instant expiry_deferred_until{};   ///< Not reported as expired before: it had no chance yet.
-    std::uint64_t version = 0;         ///< Shard-set version that the leader wants.
-    std::uint64_t confirmed = 0;       ///< That the server holds; 0 for unknown.
-    std::vector<Change> changes;       ///< After `confirmed`, in order.
-    std::map<ShardId, Epoch> awaited;  ///< Revoked and not given elsewhere yet.
+    Instant expiry_deferred_until{};   ///< No expiry before this: the server could not answer.
+    std::uint64_t version = 0;         ///< Shard-set version that the leader has set.
+    std::uint64_t confirmed = 0;       ///< Version that the server holds; 0 if unknown.
+    std::vector<Change> changes;       ///< Changes after `confirmed`, in order.
+    std::map<ShardId, Epoch> awaited;  ///< Revoked, not released or reassigned yet.
     bool leaving = false;
     double load = 0.0;
     Instant due{};  ///< Key of its entry in due_.
--- a/src/lease/fenced_owner.cc
+++ b/src/lease/fenced_owner.cc
@@ -12,10 +12,10 @@
   return Fail(ErrorKind::kNotOwner,
               "Shard " + std::to_string(grant.shard.index) + " of " + grant.shard.service.value +
                   " at epoch " + std::to_string(grant.epoch.value) + " " + why + ".",
-              "Send the request to the shard's present owner.");
+              "Send the request to the shard's current owner.");
 }
 
-/// Whether the message changes the set of shards, rather than only renewing the lease for it.
+/// Whether the request changes the shard set, rather than only renewing the lease.
 bool IsChange(const LeaseRequest& request) {
   return request.base_version == 0 || request.base_version != request.target_version;
 }
@@ -37,17 +37,17 @@
 bool FencedOwner::Accept(const LeaseRequest& request) {
   if (request.server != server_ || request.order <= last_order_) return false;
   if (!request.incarnation) {
-    // A hello only asks for the incarnation and a reading: it can't give anything, since a grant is
-    // bound to the reading of the incarnation that it is meant for.
+    // A hello only requests the incarnation and a clock reading. It cannot grant anything, since a
+    // grant is bound to a reading of the incarnation that it is meant for.
     if (request.valid_until || !request.grants.empty()) return false;
     last_order_ = request.order;
     return true;
   }
   if (*request.incarnation != incarnation_) return false;
   last_order_ = request.order;
-  // The lease is extended only together with the set of shards that the leader names: a renewal
-  // whose base is not the set held here would otherwise keep alive a shard that the leader has
-  // already given to another server.
+  // The lease is extended only for the shard set that the leader names: a renewal with another base
+  // version would otherwise extend the lease of a shard that the leader has already assigned to
+  // another server.
   const bool set_fits = request.base_version == 0 || request.base_version == shard_set_version_;
   if (!set_fits && !DefectOn(Defect::kRenewalOfWrongSet)) return false;
   if (IsChange(request)) ApplyChange(request);
@@ -69,8 +69,8 @@
 void FencedOwner::ReplaceSet(const LeaseRequest& request) {
   const std::set<ShardGrant> granted(request.grants.begin(), request.grants.end());
   const std::set<ShardGrant> revoked(request.revocations.begin(), request.revocations.end());
-  // What the leader does not name may belong to another server by now. It is dropped with whatever
-  // is in flight: the Commit() of such a request fails although the lease is valid again.
+  // Shards that the leader does not name may belong to another server by now. They are dropped
+  // along with their requests in flight, whose Commit() fails although the lease is valid again.
   std::erase_if(shards_, [&](const auto& entry) {
     const ShardGrant held{entry.first, entry.second.epoch};
     return !granted.contains(held) && !revoked.contains(held);
@@ -117,7 +117,8 @@
 }
 
 Result<void> FencedOwner::Begin(const ShardGrant& grant, Instant now) {
-  if (!LeaseValid(now)) return NotOwner(grant, "can't start, since this server's lease is over");
+  if (!LeaseValid(now))
+    return NotOwner(grant, "can't start a request, since this server's lease has expired");
   const auto* held = Find(grant);
   if (held == nullptr) return NotOwner(grant, "is not held by this server");
   if (held->revoked) return NotOwner(grant, "is moving to another server");
@@ -127,7 +128,8 @@
 
 Result<void> FencedOwner::Commit(const ShardGrant& grant, Instant now) const {
   if (DefectOn(Defect::kCommitWithoutCheck)) return {};
-  if (!LeaseValid(now)) return NotOwner(grant, "can't commit, since this server's lease is over");
+  if (!LeaseValid(now))
+    return NotOwner(grant, "can't commit, since this server's lease has expired");
   if (Find(grant) == nullptr) return NotOwner(grant, "is no longer held by this server");
   return {};
 }
@@ -143,7 +145,7 @@
 
 Result<void> FencedOwner::BeginPooled(Instant now) const {
   if (LeaseValid(now)) return {};
-  return Fail(ErrorKind::kNotOwner, "The lease of server " + server_.value + " is over.",
+  return Fail(ErrorKind::kNotOwner, "The lease of server " + server_.value + " has expired.",
               "Send the request to another server of the pool.");
 }
 
--- a/src/lease/lease_table.cc
+++ b/src/lease/lease_table.cc
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// Shard-set versions of different terms must differ: a server that still holds an earlier leader's
-/// set must not be taken for one that holds ours.
+/// Position of the term in a shard-set version. Versions of different terms must differ, so that a
+/// set from an earlier leader is never mistaken for one of this leader.
 constexpr unsigned kTermShift = 32;
 
-/// A server's lease in the time of a machine whose clock may run faster by the drift bound.
+/// The duration of a server's lease on a clock that may run faster by the drift bound.
 Duration Stretch(Duration lease, double drift_bound) {
   const double stretched = static_cast<double>(lease.count()) * (1.0 + drift_bound);
   return Duration(static_cast<Duration::rep>(std::ceil(stretched)));
@@ -34,8 +34,9 @@
 Duration LeaseTable::Interval(const Session& session) const {
   const Duration usual = session.lease / options_.renewals_per_lease;
   if (session.state == State::kUnleased) return std::max(Duration(1), session.lease / 2);
-  const bool waits = session.state == State::kLeased && !session.awaited.empty();
-  return std::max(Duration(1), waits ? std::min(usual, options_.release_poll_interval) : usual);
+  const bool awaits_release = session.state == State::kLeased && !session.awaited.empty();
+  return std::max(Duration(1),
+                  awaits_release ? std::min(usual, options_.release_poll_interval) : usual);
 }
 
 LeaseTable::Session& LeaseTable::Open(const ServerId& server, Duration lease, Instant now) {
@@ -54,8 +55,8 @@
   Session& session = Open(server, lease, now);
   session.state = State::kLeased;
   session.incarnation = incarnation;
-  // Every grant of an earlier leader rests on a reading taken before that leader's own lease ended,
-  // hence before this leader's election; `now` is later still.
+  // Every grant of an earlier leader is based on a reading taken before that leader's own lease
+  // ended, hence before this leader's election, and `now` is later still.
   session.expires_at = now + Stretch(std::max(lease, longest_lease), options_.clock_drift_bound);
   if (DefectOn(Defect::kNoWaitAfterElection)) session.expires_at = now;
   session.version = NextVersion();
@@ -139,8 +140,8 @@
 }
 
 void LeaseTable::ScheduleChange(const ServerId& server, Session& session, Instant now) {
-  // While a message is unanswered its answer, or the time-out after one interval, comes first: one
-  // message at a time per server.
+  // Only one message at a time per server: an unanswered one must first be answered, or time out
+  // after one interval.
   if (session.answered < session.last_sent && session.due > now) return;
   Schedule(server, session, now);
 }
@@ -156,8 +157,7 @@
   const auto found = sessions_.find(answer.server);
   if (found == sessions_.end()) return;
   Session& session = found->second;
-  // An answer to another leader's message, or one older than another that was taken, says nothing
-  // about the present.
+  // An answer to another leader's message, or one older than an answer already processed, is stale.
   if (answer.order.term != term_) return;
   if (answer.order.sequence <= session.answered || answer.order.sequence > session.last_sent)
     return;
@@ -181,8 +181,8 @@
 void LeaseTable::HandleLeasedAnswer(const ServerId& server, Session& session,
                                     const LeaseAnswer& answer, Instant now) {
   if (answer.incarnation != session.incarnation) {
-    // The process was started anew. Its predecessor may still run until its lease is over, so
-    // nothing is granted to the new one before that.
+    // The server was restarted. The previous incarnation may still run requests until its lease
+    // expires, so nothing is granted to the new one before that.
     session.successor = answer.incarnation;
     session.reading = answer.reading;
     session.reading_received = now;
@@ -195,22 +195,23 @@
   const bool change_refused = !answer.accepted && session.confirmed != 0;
   Confirm(session, answer);
   NoteReleases(server, session, answer);
-  // A whole set that was refused is tried again only after one interval: another leader may have
-  // spoken to the server.
+  // A rejected whole set is retried only after one interval: another leader may have sent messages
+  // to the server.
   if (session.confirmed != session.version && (answer.accepted || change_refused)) {
     Schedule(server, session, now);
   }
 }
 
 void LeaseTable::Confirm(Session& session, const LeaseAnswer& answer) const {
-  const bool ours = (answer.shard_set_version >> kTermShift) == term_.value &&
-                    answer.shard_set_version <= session.version;
-  if (!ours) {
+  const bool from_this_term = (answer.shard_set_version >> kTermShift) == term_.value &&
+                              answer.shard_set_version <= session.version;
+  if (!from_this_term) {
     session.confirmed = 0;
     session.changes.clear();
     return;
   }
-  // A version below that of a change kept here would mean a set that we can no longer extend.
+  // The changes after a version below `confirmed` are no longer kept, so the whole set must be
+  // sent.
   if (session.confirmed != 0 && answer.shard_set_version < session.confirmed) {
     session.confirmed = 0;
     session.changes.clear();
@@ -243,8 +244,8 @@
   if (due_.empty()) return;
   const auto& [due, server] = *due_.begin();
   if (now - due <= sessions_.at(server).lease / 2) return;
-  // This leader was paused, or had lost its own lease for a while: the servers had no chance to
-  // answer. Without this, it would take all of them for lost at once.
+  // This leader was paused, or had lost its own lease for a while, so the servers could not answer.
+  // Without this, all sessions would expire at once.
   for (auto& [id, session] : sessions_) session.expiry_deferred_until = now + session.lease / 2;
 }
 
@@ -277,13 +278,13 @@
   request.incarnation = session.incarnation;
   request.valid_until = *session.reading + session.lease;
   // The reading was taken before it was received, so on any clock within the drift bound the grant
-  // ends before this instant.
+  // ends before `expires_at`.
   session.expires_at =
       std::max(session.expires_at,
                session.reading_received + Stretch(session.lease, options_.clock_drift_bound));
   FillChange(server, session, request);
   if (DefectOn(Defect::kRenewalOfWrongSet)) {
-    // Takes the change for arrived.
+    // Assumes that the change has arrived.
     session.confirmed = session.version;
     session.changes.clear();
   }
