--- a/include/graniteseam/placement/load_tracker.h
+++ b/include/graniteseam/placement/load_tracker.h
@@ -1,5 +1,5 @@
 /// @file
-/// Estimates each shard's request rate from what routers report.
+/// Estimates each shard's request rate from the routers' reports.
 #pragma once
 
 #include <cstdint>
@@ -11,67 +11,68 @@
 
 namespace graniteseam::placement {
 
-/// Tunables of the estimate.
+/// Settings of a LoadTracker.
 struct LoadTrackerOptions {
-  /// The short window that shows a shift of load.
+  /// Length of the short window, which detects shifts of load.
   Duration short_window{1'000'000};
-  /// Length of one of its slots.
+  /// Length of one slot of the short window.
   Duration slot{250'000};
-  /// Time constant of the long average that quiets the noise of small counts.
+  /// Time constant of the long average, which smooths the noise of small counts.
   Duration long_time_constant{10'000'000};
-  /// How many standard deviations of a Poisson count the short window must differ from the long
-  /// average before the average is thrown away and started again from the short window.
+  /// By how many standard deviations of a Poisson count the short window must differ from the long
+  /// average for the average to be reset to the short window's rate.
   double shift_deviations = 4.0;
-  /// Noise in proportion to the count: routers report in batches, so that a window may hold one
-  /// report more or less than it should.
+  /// Standard deviation in proportion to the count: routers report in batches, so a window may
+  /// contain one report more or less than its share.
   double relative_deviation = 0.1;
-  /// A change of fewer requests in the short window is no shift, because a Poisson count that small
-  /// is not normally distributed.
+  /// A difference of fewer requests in the short window is not a shift, because such a small
+  /// Poisson count is not normally distributed.
   double shift_requests_minimum = 10.0;
-  /// Shifts count for LastShift() when those of one slot together reach this part of the service's
-  /// load: with tens of thousands of shards, some false alarms are always about.
+  /// Fraction of the service's load that the shifts of one slot must reach together to count for
+  /// LastShift(): with tens of thousands of shards, some false detections are always present.
   double shifted_load_share_minimum = 0.01;
 };
 
 /// A shard's estimated load.
 struct LoadEstimate {
   double requests_per_second = 0;
-  /// Standard deviation of the estimate, from the number of requests that it rests on.
+  /// Standard deviation of the estimate, from the number of requests that it is based on.
   double deviation = 0;
 };
 
 /// Counts requests per shard and turns the counts into rates.
 ///
-/// A long exponential average quiets the noise; a change of more than `shift_deviations` in the
-/// short window restarts it, so that a shift of load is seen within about one short window.
-/// Deterministic; not thread safe. `now` never goes back.
+/// A long exponential average smooths the noise. A change of more than `shift_deviations` in the
+/// short window resets it, so that a shift of load is detected within about one short window.
+/// Deterministic; not thread safe. `now` never decreases.
 class LoadTracker {
  public:
   explicit LoadTracker(LoadTrackerOptions options = {});
 
   /// Adds requests that one router counted for a shard since its last report. A count that is
-  /// negative, above a billion or not a number is passed over. The caller checks that the shard
+  /// negative, above a billion or not a number is ignored. The caller checks that the shard
   /// exists.
   void Record(const ShardId& shard, double requests, Instant now);
 
-  /// Closes slots that are over. Call it on each tick.
+  /// Closes slots that have ended. Called on each tick.
   void Advance(Instant now);
 
+  /// The shard's estimated load; zero when it has no reports.
   LoadEstimate Estimate(const ShardId& shard) const;
 
-  /// When the service's load last shifted markedly among its shards (see
-  /// `shifted_load_share_minimum`); the origin when never.
+  /// When the load of the service's shards last shifted by at least `shifted_load_share_minimum`;
+  /// the clock's origin when it never did.
   Instant LastShift(const ServiceName& service) const;
 
-  /// Forgets a service that no longer exists.
+  /// Removes the counters of a service that no longer exists.
   void Remove(const ServiceName& service);
 
  private:
   struct ShardCounter {
-    double slot_requests = 0;    ///< In the slot that is open.
-    std::vector<double> recent;  ///< Requests of the last closed slots, as a ring.
-    double average = 0;          ///< Requests a second.
-    double average_seconds = 0;  ///< Seconds of observation that the average rests on.
+    double slot_requests = 0;    ///< In the open slot.
+    std::vector<double> recent;  ///< Ring buffer of the last closed slots' requests.
+    double average = 0;          ///< Requests per second.
+    double average_seconds = 0;  ///< Observation time that the average is based on.
   };
   struct ServiceCounters {
     std::vector<ShardCounter> shards;
--- a/src/placement/load_tracker.cc
+++ b/src/placement/load_tracker.cc
@@ -7,10 +7,11 @@
 namespace graniteseam::placement {
 namespace {
 
-/// Slots closed one by one after a pause of the caller; after so many the averages have faded out.
+/// Most slots that are closed one by one after a pause of the caller; after this many, the averages
+/// have decayed.
 constexpr std::uint64_t kSlotsCaughtUpMaximum = 400;
 
-/// Of one shard in one report; a report beyond it is wrong.
+/// Most requests of one shard in one report; a higher count is invalid.
 constexpr double kRequestsMaximum = 1e9;
 
 double Square(double value) { return value * value; }
@@ -28,7 +29,7 @@
 
 void LoadTracker::Record(const ShardId& shard, double requests, Instant now) {
   Advance(now);
-  // Also refuses what is not a number: it would stay in the average for ever.
+  // The negated form also rejects NaN, which would stay in the average permanently.
   if (!(requests >= 0 && requests <= kRequestsMaximum)) return;
   auto& shards = services_[shard.service].shards;
   if (shard.index >= shards.size()) shards.resize(std::size_t{shard.index} + 1);
@@ -63,20 +64,20 @@
     const double slot_requests = counter.slot_requests;
     counter.slot_requests = 0;
     if (counter.recent.empty()) {
-      if (slot_requests == 0) continue;  // Never asked for: costs no memory.
+      if (slot_requests == 0) continue;  // No requests yet: allocates no memory.
       counter.recent.resize(slots_per_window_);
     }
     counter.recent[slots_closed_ % slots_per_window_] = slot_requests;
     shifted_rate += UpdateAverage(counter, slot_requests);
     total_rate += counter.average;
   }
-  // A service that has just appeared has no earlier load to have shifted from.
+  // A new service has no earlier load that could shift.
   if (shifted_rate > 0 && shifted_rate >= options_.shifted_load_share_minimum * total_rate) {
     counters.last_shift = slot_end_;
   }
 }
 
-/// @return by how many requests a second the load has shifted; 0 when it has not.
+/// @return the shift of the load in requests per second; 0 when there is none.
 double LoadTracker::UpdateAverage(ShardCounter& counter, double slot_requests) const {
   const double slot = Seconds(options_.slot);
   const double window = slot * static_cast<double>(slots_per_window_);
@@ -98,7 +99,7 @@
   const double window = Seconds(options_.slot) * static_cast<double>(slots_per_window_);
   const double expected = counter.average * window;
   const double difference = std::abs(window_requests - expected);
-  // The window's own count, the error of the average that it is compared with, and batching.
+  // Sum of the variances of the window's count, of the average and of batching.
   const double variance = std::max(expected, 1.0) + expected * window / counter.average_seconds +
                           Square(options_.relative_deviation * expected);
   return difference >= options_.shift_requests_minimum &&
--- a/src/placement/placement_planner.cc
+++ b/src/placement/placement_planner.cc
@@ -11,14 +11,15 @@
 
 constexpr double kReluctanceMinimum = 0.5;
 constexpr double kReluctanceMaximum = 4.0;
-/// A move makes its key unavailable for a moment only, so that weight counts by half.
+/// Weight of unavailability relative to churn: a move makes its keys unavailable only briefly, so
+/// it counts by half.
 constexpr double kUnavailabilityPart = 0.5;
 
 Duration Scaled(Duration duration, double factor) {
   return Duration(static_cast<std::int64_t>(static_cast<double>(duration.count()) * factor));
 }
 
-/// A threshold over 1, moved away from 1 by reluctance.
+/// Scales a threshold's distance from 1 by the reluctance.
 double Threshold(double ratio, double reluctance) { return 1 + (ratio - 1) * reluctance; }
 
 std::vector<HotShard> FindHotShards(const PlacementInput& input, double target, double mean) {
@@ -72,7 +73,7 @@
   return plan;
 }
 
-/// Whether the estimates have settled and the last plan has cooled down.
+/// Whether the load estimates have settled and the cool-down after the last plan has passed.
 bool PlacementPlanner::MayPlan(const PlacementInput& input, double reluctance, Instant now) {
   const bool shifted =
       input.last_load_shift != Instant{} && now < input.last_load_shift + options_.settle_time;
@@ -80,7 +81,7 @@
     unsettled_since_.reset();
   } else {
     if (!unsettled_since_.has_value()) unsettled_since_ = now;
-    // A load that never settles must not keep a server overloaded for ever.
+    // The wait is limited, so that a load that never settles does not leave a server overloaded.
     if (now < *unsettled_since_ + options_.settle_maximum) return false;
   }
   return !last_plan_.has_value() || now >= *last_plan_ + Scaled(options_.cool_down, reluctance);
--- a/src/placement/server_loads.cc
+++ b/src/placement/server_loads.cc
@@ -29,14 +29,15 @@
   if (mean_ <= 0) return;
   for (ServerNumber number = 0; number < servers_.size(); ++number) {
     const Server& server = servers_[number];
-    // Overload that may be noise is left alone: a move on its account may well make things worse.
+    // Overload within the noise is ignored, since moves based on it may increase the imbalance.
     const bool overloaded = Ratio(server) > trigger && Ratio(server) - 1 > Noise(server);
     if (overloaded) sources_.emplace(Ratio(server), number);
     if (server.may_gain) rooms_.emplace(Room(server), number);
   }
 }
 
-/// As a ratio. The error of the mean is left out: it is smaller by the root of the servers' number.
+/// The noise of a server's load, as a ratio. The error of the mean is neglected, since it is
+/// smaller by the square root of the number of servers.
 double ServerLoads::Noise(const Server& server) const {
   return options_.noise_deviations * std::sqrt(server.variance) / (server.capacity * mean_);
 }
@@ -55,7 +56,7 @@
       Apply(choice);
       return true;
     }
-    sources_.erase(sources_.begin());  // Nothing more can be done for this one.
+    sources_.erase(sources_.begin());  // No further move relieves this server.
   }
   return false;
 }
@@ -69,7 +70,7 @@
   const Server& target = servers_[roomiest->second];
   std::size_t position = source.shards.size() - 1;
   if (!IsHotShardMove(source, target) && !FindMoveWithinTarget(source, target, position) &&
-      !FindEveningMove(source, target, position)) {
+      !FindBalancingMove(source, target, position)) {
     return false;
   }
   choice = {source.shards[position], from, roomiest->second};
@@ -85,8 +86,9 @@
       [&](std::uint32_t left, std::uint32_t right) { return Load(left) < Load(right); });
 }
 
-/// Whether to move the heaviest shard, which no server can carry within the target, to one that is
-/// nearly empty: one move in place of one for each of its neighbours.
+/// Whether to move the heaviest shard, which alone exceeds the target server's target ratio, to
+/// that server because it is nearly empty. This takes one move instead of one for each of its
+/// neighbours.
 bool ServerLoads::IsHotShardMove(const Server& source, const Server& target) const {
   const double unit = target.capacity * mean_;
   const double hottest = Load(source.shards.back());
@@ -95,8 +97,8 @@
          neighbours > target.load + options_.gain_minimum * unit;
 }
 
-/// The least shard that alone brings the source to its target, if the target server takes it; else
-/// the greatest that it takes: so the source needs the fewest moves.
+/// Finds the smallest shard whose move alone brings the source down to the target ratio, if the
+/// target server has room for it, otherwise the largest one that fits. This needs the fewest moves.
 bool ServerLoads::FindMoveWithinTarget(const Server& source, const Server& target,
                                        std::size_t& position) {
   const auto first_above = [&](double load, bool or_equal) {
@@ -117,15 +119,17 @@
   return Load(source.shards[position]) > 0;
 }
 
-/// No server has room: the shard that best evens out the two, if that gains enough.
-bool ServerLoads::FindEveningMove(const Server& source, const Server& target,
-                                  std::size_t& position) {
+/// For when no server has enough room: finds the shard whose move best evens out the two servers,
+/// if the gain is at least the minimum.
+bool ServerLoads::FindBalancingMove(const Server& source, const Server& target,
+                                    std::size_t& position) {
   const auto higher_after = [&](std::size_t candidate) {
     const double load = Load(source.shards[candidate]);
     return std::max((source.load - load) / (source.capacity * mean_),
                     (target.load + load) / (target.capacity * mean_));
   };
-  // The higher of the two falls with the shard's load up to a point and rises after it.
+  // The higher ratio of the two decreases with the shard's load up to `even` and then increases, so
+  // only the shards next to `even` are candidates.
   double best = Ratio(source) - options_.gain_minimum;
   bool found = false;
   const double even = (source.load * target.capacity - target.load * source.capacity) /
--- a/src/placement/server_loads.h
+++ b/src/placement/server_loads.h
@@ -1,5 +1,5 @@
 /// @file
-/// The loads of one service's servers while a plan is made, and the search for single moves.
+/// The loads of one service's servers during planning, and the search for single moves.
 #pragma once
 
 #include <cstddef>
@@ -12,21 +12,23 @@
 
 namespace graniteseam::placement {
 
-/// A move found, as positions in PlacementInput.
+/// A move, as positions in PlacementInput.
 struct MoveChoice {
   std::uint32_t shard = 0;  ///< Position in PlacementInput::shards.
-  std::uint32_t from = 0;
-  std::uint32_t to = 0;
+  std::uint32_t from = 0;   ///< Position in PlacementInput::servers.
+  std::uint32_t to = 0;     ///< Position in PlacementInput::servers.
 };
 
-/// Keeps servers in order of overload and of room, and each server's shards in order of load. Loads
-/// are compared by capacity: a "ratio" is load over what a server of its capacity carries at the
-/// mean. Not thread safe.
+/// Keeps servers ordered by overload and by room, and each server's shards ordered by load. Loads
+/// are compared relative to capacity: a "ratio" is a server's load divided by the mean load of a
+/// server of its capacity. "Room" is the load that a server can gain up to the target. Not thread
+/// safe.
 class ServerLoads {
  public:
-  /// @param trigger servers above this ratio are relieved...
-  /// @param target ...down to this one.
-  /// @param options for the noise and the gains that are worth a move.
+  /// @param input must outlive this object.
+  /// @param trigger the ratio above which servers are relieved.
+  /// @param target the ratio that relieved servers are brought down to.
+  /// @param options must outlive this object; the settings for noise and minimum gains are used.
   ServerLoads(const PlacementInput& input, double trigger, double target,
               const PlannerOptions& options);
 
@@ -34,11 +36,12 @@
   double mean() const { return mean_; }
   /// The highest ratio of any server.
   double Imbalance() const;
-  /// Whether a server is above the trigger, and above the mean by more than its noise.
+  /// Whether a server is above the trigger, exceeds the mean by more than its noise, and may still
+  /// have a move.
   bool AnyOverloaded() const { return !sources_.empty(); }
 
-  /// Finds the next move off the most overloaded server that has one, and applies it.
-  /// @return false when no move is left that brings a server to the target or is worth it.
+  /// Finds the next move from the most overloaded server that has one, and applies it.
+  /// @return false when no move is left that brings a server to the target or has the minimum gain.
   bool TakeNextMove(MoveChoice& choice);
 
  private:
@@ -49,10 +52,10 @@
   struct Server {
     double capacity = 1;
     bool may_gain = true;
-    double load = 0;      ///< Without the shards that are on their way to another server.
+    double load = 0;      ///< Without shards that are being moved.
     double variance = 0;  ///< Of `load`.
     bool sorted = false;
-    std::vector<std::uint32_t> shards;  ///< Movable ones; by ascending load once sorted.
+    std::vector<std::uint32_t> shards;  ///< Movable shards; by ascending load once `sorted`.
   };
 
   double Ratio(const Server& server) const { return server.load / (server.capacity * mean_); }
@@ -66,7 +69,7 @@
   bool FindMove(ServerNumber from, MoveChoice& choice);
   bool IsHotShardMove(const Server& source, const Server& target) const;
   bool FindMoveWithinTarget(const Server& source, const Server& target, std::size_t& position);
-  bool FindEveningMove(const Server& source, const Server& target, std::size_t& position);
+  bool FindBalancingMove(const Server& source, const Server& target, std::size_t& position);
   void Apply(const MoveChoice& choice);
   void ChangeLoad(ServerNumber number, double load, double variance);
 
@@ -75,7 +78,7 @@
   const PlannerOptions& options_;
   double mean_ = 0;
   std::vector<Server> servers_;
-  RankedServers sources_;  ///< Servers to be relieved that are still above the target, by ratio.
+  RankedServers sources_;  ///< Overloaded servers still above the target, by ratio.
   RankedServers rooms_;    ///< Servers that may gain, by room.
 };
 
--- a/src/placement/shard_table.cc
+++ b/src/placement/shard_table.cc
@@ -25,7 +25,7 @@
     if (found->second.count == shard_count) return {};
     return Fail(ErrorKind::kFailedPrecondition,
                 "Service " + service.value + " has " + std::to_string(found->second.count) +
-                    " shards and can't get " + std::to_string(shard_count) + ".",
+                    " shards; the count can't be changed to " + std::to_string(shard_count) + ".",
                 "Keep the shard count, or give the service another name.");
   }
   const ServiceRange range{static_cast<ShardNumber>(shards_.size()), shard_count};
@@ -179,7 +179,7 @@
   Clear();
   for (const auto& server : state.servers) Intern(server);
   if (servers_.size() != std::max<std::size_t>(state.servers.size(), 1)) {
-    return Fail(ErrorKind::kMalformedMessage, "The shard table names a server twice.",
+    return Fail(ErrorKind::kMalformedMessage, "The shard table snapshot lists a server twice.",
                 "Restore the control process from another member.");
   }
   std::vector<std::pair<std::uint64_t, ShardNumber>> by_change;
@@ -189,7 +189,8 @@
     const auto service = services_.emplace(entry.service, ServiceRange{first, count}).first;
     for (const auto& record : entry.shards) {
       if (std::max({record.owner, record.target, record.last_owner}) >= servers_.size()) {
-        return Fail(ErrorKind::kMalformedMessage, "A shard's owner is missing in the shard table.",
+        return Fail(ErrorKind::kMalformedMessage,
+                    "The shard table snapshot has a shard whose server is not listed.",
                     "Restore the control process from another member.");
       }
       const auto number = static_cast<ShardNumber>(shards_.size());
--- a/src/placement/shard_table.h
+++ b/src/placement/shard_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// Who owns which shard: the replicated part of placement.
+/// The owners of shards: the replicated part of placement.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -17,26 +17,27 @@
 
 namespace graniteseam::placement {
 
+/// Ownership state of a shard.
 enum class OwnershipState {
-  kUnassigned,  ///< Has no owner, or its last one is known to be gone.
-  kAssigned,
-  kMoving,  ///< Still owned by `owner`, which is asked to release it for `target`.
+  kUnassigned,  ///< No owner yet, or the last one released the shard or was lost.
+  kAssigned,    ///< Has an owner.
+  kMoving,      ///< Still owned by `owner`, which is requested to release it for `target`.
 };
 BOOST_DESCRIBE_ENUM(OwnershipState, kUnassigned, kAssigned, kMoving)
 
-/// One shard as readers see it.
+/// The ownership of one shard, as returned by ShardTable.
 struct ShardOwnership {
   ShardId shard;
   OwnershipState state = OwnershipState::kUnassigned;
   ServerId owner;   ///< Empty while unassigned.
   ServerId target;  ///< Set while moving.
-  Epoch epoch;      ///< That of the last assignment; 0 before the first.
+  Epoch epoch;      ///< Of the last assignment; 0 before the first.
 
   bool operator==(const ShardOwnership&) const = default;
 };
 
-/// Gives a shard to a server at the epoch after `from_epoch`. Whoever proposes it must know that
-/// the owner at `from_epoch` has released the shard or that its lease is over.
+/// Assigns a shard to a server at the epoch after `from_epoch`. The proposer must have established
+/// that the owner at `from_epoch` has released the shard or that its lease has expired.
 struct Assignment {
   ShardId shard;
   Epoch from_epoch;
@@ -46,7 +47,7 @@
 };
 BOOST_DESCRIBE_STRUCT(Assignment, (), (shard, from_epoch, server))
 
-/// Announces that the owner at `epoch` is to release the shard for `target`.
+/// Begins a move: the owner at `epoch` is to release the shard for `target`.
 struct PlannedMove {
   ShardId shard;
   Epoch epoch;
@@ -56,7 +57,7 @@
 };
 BOOST_DESCRIBE_STRUCT(PlannedMove, (), (shard, epoch, target))
 
-/// One shard in a snapshot; servers are positions in ShardTableState::servers.
+/// One shard in a snapshot. Servers are positions in ShardTableState::servers; 0 means none.
 struct ShardRecord {
   OwnershipState state = OwnershipState::kUnassigned;
   std::uint32_t owner = 0;
@@ -67,13 +68,14 @@
 };
 BOOST_DESCRIBE_STRUCT(ShardRecord, (), (state, owner, target, last_owner, epoch, changed_at))
 
+/// The shards of one service in a snapshot, by index.
 struct ServiceShards {
   ServiceName service;
   std::vector<ShardRecord> shards;
 };
 BOOST_DESCRIBE_STRUCT(ServiceShards, (), (service, shards))
 
-/// A table's whole state, for snapshots.
+/// Snapshot of a ShardTable.
 struct ShardTableState {
   std::uint64_t version = 0;
   std::uint64_t moves = 0;
@@ -82,18 +84,18 @@
 };
 BOOST_DESCRIBE_STRUCT(ShardTableState, (), (version, moves, servers, services))
 
-/// The shards of all keyed services, with an index by server and one by time of change.
+/// The shards of all keyed services, indexed by server and by order of change.
 ///
-/// Each change carries the version (log index) that made it, which never goes back; several changes
-/// may share one. Work is in proportion to the shards changed or returned, never to all shards,
-/// except in State(), Restore() and All().
+/// Each change carries the version (log index) of its log entry, which never decreases; several
+/// changes may share one. The cost of a call is proportional to the shards changed or returned, not
+/// to all shards, except in State(), Restore() and All().
 /// Invariant: an epoch strictly increases with each assignment of its shard, and an assignment or
-/// move prepared against another epoch has no effect. Not thread safe.
+/// move for another epoch has no effect. Not thread safe.
 class ShardTable {
  public:
   ShardTable();
 
-  /// Adds a keyed service's shards, unassigned.
+  /// Adds a keyed service's shards as unassigned; no effect when they exist.
   /// @return kFailedPrecondition when the service exists with another shard count.
   Result<void> AddService(const ServiceName& service, std::uint32_t shard_count,
                           std::uint64_t version);
@@ -101,15 +103,17 @@
   /// @return whether it took effect: the shard exists and its epoch is still `from_epoch`.
   bool Assign(const Assignment& assignment, std::uint64_t version);
 
-  /// @return whether it took effect: the shard is owned at this epoch, by another than `target`.
-  /// A move already under way gets the new target.
+  /// Begins a move; a move already in progress gets the new target.
+  /// @return whether it took effect: the shard is owned at this epoch by a server other than
+  /// `target`.
   bool BeginMove(const PlannedMove& move, std::uint64_t version);
 
-  /// Takes a shard from its owner at `epoch`, which released it, without giving it to another yet.
+  /// Removes the owner of a shard that it released at `epoch`, without assigning another.
   /// @return whether it took effect: the shard is owned at this epoch.
   bool Unassign(const ShardId& shard, Epoch epoch, std::uint64_t version);
 
-  /// Makes all shards of a server unassigned. Their epochs stay, so that the next is higher.
+  /// Makes all shards of a server unassigned. Their epochs are kept, so that the next one is
+  /// higher.
   void UnassignAll(const ServerId& server, std::uint64_t version);
 
   std::optional<ShardOwnership> Find(const ShardId& shard) const;
@@ -124,19 +128,20 @@
 
   /// The number of shards that the server owns.
   std::size_t OwnedCount(const ServerId& server) const;
-  /// The number that it will own once the moves under way are done.
+  /// The number that it will own after all moves in progress.
   std::size_t PlannedCount(const ServerId& server) const;
 
-  /// The shards changed after `version`, the latest change first. Each appears once.
+  /// The shards changed after `version`, latest change first, without duplicates.
   std::vector<ShardOwnership> ChangesSince(std::uint64_t version) const;
 
   std::uint64_t version() const { return version_; }
   std::size_t size() const { return shards_.size(); }
-  /// Assignments of a shard that had another owner before.
+  /// Number of assignments so far of shards that previously had another owner.
   std::uint64_t moves() const { return moves_; }
 
   ShardTableState State() const;
-  /// @return kMalformedMessage when the state contradicts itself.
+  /// Replaces the whole state.
+  /// @return kMalformedMessage when the snapshot is inconsistent.
   Result<void> Restore(const ShardTableState& state);
 
  private:
@@ -150,23 +155,24 @@
     std::uint32_t count = 0;
   };
   struct Shard {
-    const ServiceName* service = nullptr;  ///< Key of services_, which is stable.
+    /// Points to the key in services_, which has a stable address.
+    const ServiceName* service = nullptr;
     std::uint32_t index = 0;
     OwnershipState state = OwnershipState::kUnassigned;
     ServerNumber owner = kNoServer;
     ServerNumber target = kNoServer;
-    std::uint32_t position = 0;  ///< In its owner's list.
+    std::uint32_t position = 0;  ///< Position in its owner's `owned`.
     Epoch epoch;
     ServerNumber last_owner = kNoServer;
     std::uint64_t changed_at = 0;
-    ShardNumber older = kNoShard;  ///< Neighbours in the order of change.
+    ShardNumber older = kNoShard;  ///< Links of the list in order of change.
     ShardNumber newer = kNoShard;
   };
   struct Server {
     ServerId id;
     std::vector<ShardNumber> owned;
     std::size_t outgoing = 0;  ///< Owned shards that are moving away.
-    std::size_t incoming = 0;  ///< Shards moving here.
+    std::size_t incoming = 0;  ///< Shards that are moving to this server.
   };
 
   void Clear();
@@ -179,6 +185,7 @@
   void SetOwner(ShardNumber number, ServerNumber owner);
   void StartMoving(ShardNumber number, ServerNumber target);
   void StopMoving(ShardNumber number);
+  /// Sets the shard's version and makes it the newest in the order of change.
   void MarkChanged(ShardNumber number, std::uint64_t version);
   void LinkNewest(ShardNumber number);
   void Unlink(ShardNumber number);
