--- a/src/membership/server_registry.h
+++ b/src/membership/server_registry.h
@@ -1,5 +1,5 @@
 /// @file
-/// The servers that ever answered: the replicated part of membership.
+/// The servers that have registered: the replicated part of membership.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -14,17 +14,17 @@
 
 namespace graniteseam::membership {
 
-/// One server as the log knows it.
+/// The replicated state of one server.
 struct ServerRecord {
   ServerId id;
   ServiceName service;
   std::string address;  ///< "ip:port" of its HTTP port.
   ZoneName zone;
-  Incarnation incarnation;  ///< The only one that may be granted anything.
-  bool draining = false;    ///< An operator's word; outlives restarts of the server.
-  bool serving = false;     ///< Whether it may be granted leases; false once its lease ran out.
-  bool leaving = false;     ///< The server or the platform said that it is about to stop.
-  std::uint64_t changed_at = 0;  ///< Version (log index) of the last change of this record.
+  Incarnation incarnation;  ///< The only one that may hold grants.
+  bool draining = false;    ///< Set by an operator; persists across restarts of the server.
+  bool serving = false;     ///< Whether it may be granted leases; false after its lease expired.
+  bool leaving = false;     ///< The server or the platform announced that it will stop.
+  std::uint64_t changed_at = 0;  ///< Version (log index) of the record's last change.
 
   bool AcceptsNewWork() const { return serving && !draining && !leaving; }
   bool operator==(const ServerRecord&) const = default;
@@ -33,16 +33,16 @@
                       (id, service, address, zone, incarnation, draining, serving, leaving,
                        changed_at))
 
-/// A server that was forgotten.
+/// A server that was removed.
 struct RemovedServer {
   ServerId id;
-  std::uint64_t version = 0;
+  std::uint64_t version = 0;  ///< Version (log index) of the removal.
 
   bool operator==(const RemovedServer&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(RemovedServer, (), (id, version))
 
-/// A registry's whole state, for snapshots.
+/// Snapshot of a ServerRegistry.
 struct ServerRegistryState {
   std::uint64_t version = 0;
   std::uint64_t removals_known_after = 0;
@@ -51,40 +51,41 @@
 };
 BOOST_DESCRIBE_STRUCT(ServerRegistryState, (), (version, removals_known_after, servers, removed))
 
-/// Removals that a registry remembers.
+/// Number of removals that a registry keeps.
 inline constexpr std::size_t kRemovedMaximum = 1'000;
 
-/// The registered servers by id. Each change carries the version (log index) that made it, which
-/// never goes back. Deterministic; not thread safe.
+/// The registered servers by id. Each change carries the version (log index) of its log entry,
+/// which never decreases. Deterministic; not thread safe.
 class ServerRegistry {
  public:
-  /// Adds a server, or replaces what is known of it except for an operator's drain. It serves and
-  /// is not leaving.
+  /// Adds a server, or replaces its record except for the `draining` flag. The server is then
+  /// serving and not leaving.
   void Register(const ServerRecord& record, std::uint64_t version);
 
-  /// @return whether the server is known.
+  /// Each setter changes one flag.
+  /// @return whether the server is registered.
   bool SetDraining(const ServerId& server, bool draining, std::uint64_t version);
   bool SetLeaving(const ServerId& server, bool leaving, std::uint64_t version);
   bool SetServing(const ServerId& server, bool serving, std::uint64_t version);
 
-  /// Forgets a server; its name stays known as removed for a while.
+  /// Removes a server. The removal is kept for RemovedSince() until kRemovedMaximum later ones.
   void Remove(const ServerId& server, std::uint64_t version);
 
   const ServerRecord* Find(const ServerId& server) const;
   const std::map<ServerId, ServerRecord>& servers() const { return servers_; }
-  /// The version of the latest change.
+  /// Version of the last change.
   std::uint64_t version() const { return version_; }
   /// The servers removed after `version` and not registered again, oldest first.
   std::vector<ServerId> RemovedSince(std::uint64_t version) const;
-  /// A reader that saw an older version than this needs the whole list: removals after it may have
-  /// been forgotten.
+  /// A reader with an older version than this needs the whole list, since later removals may no
+  /// longer be kept.
   std::uint64_t removals_known_after() const { return removals_known_after_; }
 
   ServerRegistryState State() const;
   void Restore(const ServerRegistryState& state);
 
  private:
-  /// Sets one flag of a known server.
+  /// Sets one flag of a server. @return whether the server is registered.
   bool Set(const ServerId& server, bool ServerRecord::*flag, bool value, std::uint64_t version);
 
   std::map<ServerId, ServerRecord> servers_;
