--- a/include/graniteseam/traffic/instance.h
+++ b/include/graniteseam/traffic/instance.h
@@ -22,7 +22,7 @@
 inline constexpr char kStartTimeSeparator = '~';
 
 /// Builds the id of an incarnation.
-/// @param started_at_ms start time in milliseconds by the server's own clock; 0 when the server
+/// @param started_at_ms start time in milliseconds by the server's wall clock; 0 when the server
 /// does not report one. The id is then the name alone, and the server has a single incarnation.
 InstanceId MakeInstanceId(std::string_view name, std::int64_t started_at_ms);
 /// The name that the server reports, which is the same for all of its incarnations.
