--- a/src/gateway/backend_table.cc
+++ b/src/gateway/backend_table.cc
@@ -70,7 +70,7 @@
   for (const traffic::Instance& instance : update.instances) {
     const traffic::InstanceId& id = instance.report.id;
     const auto old = before.find(id);
-    if (instance.Gone()) {
+    if (instance.IsGone()) {
       Remove(id);
       continue;
     }
@@ -119,14 +119,14 @@
   const bool drained = backend.instance.state == traffic::InstanceState::kZoneDrained;
   const bool taken_back = !fresh && drained && next.TakesNewWork();
   if (taken_back) backend.warm_at_earliest = now + options_.taken_back_warm_up;
-  const bool changed = fresh || taken_back || next.WarmsUp() != backend.instance.WarmsUp();
+  const bool changed = fresh || taken_back || next.IsWarmingUp() != backend.instance.IsWarmingUp();
   if (!changed) return;
   const Instant reported_warm_at = now + std::chrono::milliseconds(next.report.warmup_left_ms);
   backend.warm_at = std::max(reported_warm_at, backend.warm_at_earliest);
 }
 
 bool BackendTable::WarmUpAdmits(const Backend& backend, Instant now) const {
-  return !WarmsUp(backend, now) || warm_ups_.admits(backend.instance.report.id, now);
+  return !IsWarmingUp(backend, now) || warm_ups_.admits(backend.instance.report.id, now);
 }
 
 void BackendTable::ShareConnections(const std::map<ServiceName, traffic::Service>& services,
@@ -207,7 +207,7 @@
 
 double BackendTable::ExpectedMicros(const Backend& backend, Duration target, Instant now) const {
   double latency = backend.latency_us;
-  if (WarmsUp(backend, now)) latency *= options_.cold_factor;
+  if (IsWarmingUp(backend, now)) latency *= options_.cold_factor;
   const double turns = std::max(1.0, (LoadOf(backend, now) + 1) / SlotsOf(backend));
   return latency * turns + PenaltyMicros(backend, target, now);
 }
@@ -258,7 +258,7 @@
       continue;
     }
     const bool is_rare =
-        pressure_.is_limited(id) || (warm_ups_.is_bounded() && WarmsUp(backend, now));
+        pressure_.is_limited(id) || (warm_ups_.is_bounded() && IsWarmingUp(backend, now));
     if (is_rare) choice.scarce = &backend;
     choice.usable.push_back(&backend);
   }
@@ -401,7 +401,7 @@
   std::vector<double> sums;
   double sum = 0;
   for (const Backend* const backend : backends) {
-    const double cold = WarmsUp(*backend, now) ? options_.cold_factor : 1.0;
+    const double cold = IsWarmingUp(*backend, now) ? options_.cold_factor : 1.0;
     const double sound = std::max(kHealthyPartMinimum, 1 - FailingPart(*backend, now));
     const double latency = std::max(mean / kSpeedMaximum, LatencyToDrawBy(*backend).value_or(mean));
     sum += SlotsOf(*backend) * sound / (cold * latency);
@@ -417,7 +417,7 @@
   if (found == backends_.end()) return;
   ++found->second.in_flight;
   pressure_.note_sent(id, now);
-  if (WarmsUp(found->second, now)) warm_ups_.note_sent(id, now);
+  if (IsWarmingUp(found->second, now)) warm_ups_.note_sent(id, now);
   Visits& visits =
       visits_.try_emplace(found->second.instance.report.service, Visits{0, now, now}).first->second;
   visits.fading *= std::exp(-Micros(now - visits.at) / Micros(options_.visits_memory));
@@ -535,7 +535,7 @@
   std::snprintf(text, sizeof(text), "load %.1f of %.0f, reported %lld ms ago, latency %.0f ms%s",
                 LoadOf(backend, now), SlotsOf(backend),
                 backend.load_reported_at == Instant{} ? -1LL : static_cast<long long>(age.count()),
-                backend.latency_us / 1000, WarmsUp(backend, now) ? ", warms up" : "");
+                backend.latency_us / 1000, IsWarmingUp(backend, now) ? ", warms up" : "");
   std::string described = text;
   if (!backend.work_percent) return described;
   std::snprintf(text, sizeof(text), ", work %.0f%%", *backend.work_percent);
--- a/src/gateway/backend_table.h
+++ b/src/gateway/backend_table.h
@@ -207,7 +207,7 @@
   /// Whether this gateway may send a server a request now as regards its warm-up; applies also to a
   /// server whose warm-up was just reported by a probe.
   bool WarmUpAdmits(const Backend& backend, Instant now) const;
-  static bool WarmsUp(const Backend& backend, Instant now) { return now < backend.warm_at; }
+  static bool IsWarmingUp(const Backend& backend, Instant now) { return now < backend.warm_at; }
 
   /// Whether this gateway sends to each server of a service often enough to choose by its own
   /// samples.
--- a/src/gateway/refusals.cc
+++ b/src/gateway/refusals.cc
@@ -44,7 +44,7 @@
   // This gateway's map is out of date; an immediate retry at another gateway may succeed.
   if (reason == RefusalReason::kStaleOwner) return kRetryAfterMinimum;
   // An earlier retry would be refused again.
-  if (reason == RefusalReason::kQuarantined) return traffic::kSuspectKept;
+  if (reason == RefusalReason::kQuarantined) return traffic::kSuspectRetention;
   if (reason == RefusalReason::kResting && request.server_back_off_until > now) {
     return std::clamp<Duration>(request.server_back_off_until - now, kRetryAfterMinimum,
                                 kRetryAfterMaximum);
