--- a/include/graniteseam/control/control_node.h
+++ b/include/graniteseam/control/control_node.h
@@ -56,8 +56,8 @@
   std::vector<consensus::PeerMessage> peer_messages;
   std::vector<LeaseSend> lease_sends;
   std::vector<RouterSend> router_sends;
-  /// Names the changes among them that go to many routers: with TrafficOptions::pushes_are_timed
-  /// the driver tells by OnPushSent() when they have left.
+  /// Names the changes among them that go to many routers: with
+  /// TrafficOptions::reports_push_completion the driver tells by OnPushSent() when they have left.
   std::optional<std::uint64_t> push;
   /// The same of changes that go to the routers which take the state from this process.
   std::optional<std::uint64_t> feed_push;
@@ -101,7 +101,7 @@
   FleetView Fleet(Instant now) const;
   /// Ranges and instances that decisions looked at since the start, each as often as it was: what
   /// deciding costs, for metrics and for cost models.
-  std::uint64_t decision_looks() const;
+  std::uint64_t decision_evaluations() const;
 
  private:
   class Impl;
--- a/include/graniteseam/control/traffic_options.h
+++ b/include/graniteseam/control/traffic_options.h
@@ -17,7 +17,7 @@
   /// From an order's decision until it is sent, or not at all. A new leader waits for so much
   /// longer, since a former one may have decided orders until its lease was over. Longer than a
   /// leader takes to send the orders to all owners at once.
-  Duration order_sent_within{500'000};
+  Duration order_send_timeout{500'000};
   Duration settling{1'500'000};            ///< Of registrations before keys are first given out.
   double clock_drift_bound = 0.02;         ///< By which an instance's clock may run slow.
   Duration unresponsive_after{1'000'000};  ///< Of orders that failed, to give up on an owner.
@@ -32,9 +32,9 @@
   Duration lease_pickup{2'000'000};
   /// Gives no keys to an instance that warms up, as long as there are others: it falls over under a
   /// load that it bears when warm, and all gateways send it what its keys get.
-  bool spares_warming_up = false;
+  bool excludes_warming_up = false;
   /// Within this an instance takes the answer to a heartbeat; one that comes later is not used.
-  Duration answer_taken_within{1'200'000};
+  Duration answer_acceptance_window{1'200'000};
 };
 
 /// What tenants may send beyond their quotas in any window: the shares that routers have are worked
@@ -49,9 +49,9 @@
   QuotaOptions quotas;
   RangeOptions ranges;
   /// An instance that sent no heartbeat for so long gets nothing new.
-  Duration instance_silence{4'000'000};
+  Duration instance_timeout{4'000'000};
   /// The driver tells when pushes have left the process, and the next ones wait for it.
-  bool pushes_are_timed = false;
+  bool reports_push_completion = false;
 };
 
 struct MembershipKeeperOptions {
--- a/src/control/control_node.cc
+++ b/src/control/control_node.cc
@@ -68,6 +68,6 @@
 
 FleetView ControlNode::Fleet(Instant now) const { return impl_->Fleet(now); }
 
-std::uint64_t ControlNode::decision_looks() const { return impl_->decision_looks(); }
+std::uint64_t ControlNode::decision_evaluations() const { return impl_->decision_evaluations(); }
 
 }  // namespace graniteseam::control
--- a/src/control/control_node_impl.cc
+++ b/src/control/control_node_impl.cc
@@ -38,7 +38,7 @@
                         std::uint64_t seed, Instant now)
     : options_(std::move(options)),
       consensus_(options_.consensus, recovered, seed, now),
-      feed_(state_.traffic(), {options_.traffic.pushes_are_timed, true}) {
+      feed_(state_.traffic(), {options_.traffic.reports_push_completion, true}) {
   if (recovered.snapshot) RestoreState(*recovered.snapshot);
 }
 
@@ -259,7 +259,7 @@
 
 // --- Leadership ---
 
-std::uint64_t ControlNode::Impl::decision_looks() const {
+std::uint64_t ControlNode::Impl::decision_evaluations() const {
   return looks_before_ + (leadership_ ? leadership_->traffic.ranges().looks() : 0);
 }
 
--- a/src/control/control_node_impl.h
+++ b/src/control/control_node_impl.h
@@ -9,7 +9,7 @@
 
 #include "graniteseam/control/control_node.h"
 #include "src/control/deferred_requests.h"
-#include "src/control/feed_choice.h"
+#include "src/control/feed_selector.h"
 #include "src/control/heartbeat_relayer.h"
 #include "src/control/operator_requests.h"
 #include "src/control/ownership_controller.h"
@@ -46,7 +46,7 @@
   const consensus::RaftConsensus& consensus() const { return consensus_; }
   bool Leading(Instant now) const;
   FleetView Fleet(Instant now) const;
-  std::uint64_t decision_looks() const;
+  std::uint64_t decision_evaluations() const;
 
  private:
   /// Everything that is known only to an established leader in one term.
@@ -139,7 +139,7 @@
   Instant membership_look_due_{};
   HeartbeatRelayer relayer_{state_.traffic()};
   StateFeed feed_;
-  FeedChoice feed_choice_;
+  FeedSelector feed_selector_;
   Instant leader_known_at_{};  ///< When this process last knew another one that leads.
   Instant finished_at_{};      ///< Of the latest entry point.
   bool stopping_ = false;
--- a/src/control/control_node_requests.cc
+++ b/src/control/control_node_requests.cc
@@ -95,8 +95,8 @@
 }
 
 std::string ControlNode::Impl::FeedFor(const TrafficPoll& poll, Instant now) {
-  if (feed_choice_.IsDue(now)) feed_choice_.Take(consensus_.self(), consensus_.peers(now), now);
-  return feed_choice_.For(poll.router, poll.zone, poll.feeds_tried);
+  if (feed_selector_.IsDue(now)) feed_selector_.Take(consensus_.self(), consensus_.peers(now), now);
+  return feed_selector_.For(poll.router, poll.zone, poll.feeds_tried);
 }
 
 bool ControlNode::Impl::FollowsLeader() const {
--- a/src/control/displacement.cc
+++ b/src/control/displacement.cc
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-bool EndIsProven(const traffic::InstanceTable& instances, const InstanceLiveness& liveness,
-                 const traffic::InstanceId& id) {
+bool HasProvablyEnded(const traffic::InstanceTable& instances, const InstanceLiveness& liveness,
+                      const traffic::InstanceId& id) {
   const traffic::Instance* const displaced = instances.Find(id);
   if (displaced == nullptr) return false;
   const traffic::Instance* const successor = SuccessorOf(instances, *displaced);
@@ -32,9 +32,10 @@
          *successor_heard - *displaced_heard > kHeartbeatLateMaximum;
 }
 
-std::vector<Forerunner> Forerunners(const traffic::InstanceTable& instances,
-                                    const InstanceLiveness& liveness, Instant now) {
-  std::vector<Forerunner> forerunners;
+std::vector<StaleAddressHolder> FindStaleAddressHolders(const traffic::InstanceTable& instances,
+                                                        const InstanceLiveness& liveness,
+                                                        Instant now) {
+  std::vector<StaleAddressHolder> forerunners;
   for (const auto& [id, instance] : instances.instances()) {
     const traffic::Instance* const successor = SuccessorOf(instances, instance);
     if (successor == nullptr || !liveness.Silent(successor->report.id, now)) continue;
--- a/src/control/displacement.h
+++ b/src/control/displacement.h
@@ -24,19 +24,20 @@
 /// forerunner. False for one that is not displaced. False also for one whose successor is a later
 /// life under its name at its address: that one takes late orders for its own. Its answer to a
 /// release tells that it has seen a higher fence, and refuses them from then on.
-bool EndIsProven(const traffic::InstanceTable& instances, const InstanceLiveness& liveness,
-                 const traffic::InstanceId& id);
+bool HasProvablyEnded(const traffic::InstanceTable& instances, const InstanceLiveness& liveness,
+                      const traffic::InstanceId& id);
 
 /// A displaced instance that is proven to live, and who holds its address: a forerunner, which
 /// ended before it began.
-struct Forerunner {
+struct StaleAddressHolder {
   traffic::InstanceId id;
   traffic::InstanceReport displaced;  ///< What is known of the instance that lives.
 };
 
 /// The displaced instance was heard of so long after the holder of its address that its heartbeat
 /// can not be late, and the holder is silent.
-std::vector<Forerunner> Forerunners(const traffic::InstanceTable& instances,
-                                    const InstanceLiveness& liveness, Instant now);
+std::vector<StaleAddressHolder> FindStaleAddressHolders(const traffic::InstanceTable& instances,
+                                                        const InstanceLiveness& liveness,
+                                                        Instant now);
 
 }  // namespace graniteseam::control
--- a/src/control/feed_choice.cc
+++ b/src/control/feed_selector.cc
@@ -1,4 +1,4 @@
-#include "src/control/feed_choice.h"
+#include "src/control/feed_selector.h"
 
 #include <algorithm>
 #include <functional>
@@ -28,8 +28,8 @@
 
 }  // namespace
 
-void FeedChoice::Take(const consensus::Member& leader,
-                      const std::vector<consensus::PeerStatus>& peers, Instant now) {
+void FeedSelector::Take(const consensus::Member& leader,
+                        const std::vector<consensus::PeerStatus>& peers, Instant now) {
   due_ = now + kTakenFor;
   leader_ = leader.address;
   all_.clear();
@@ -44,8 +44,8 @@
   if (by_zone_[leader.zone].empty()) by_zone_[leader.zone].push_back(leader_);
 }
 
-std::string FeedChoice::For(const RouterId& router, const ZoneName& zone,
-                            std::uint32_t tried) const {
+std::string FeedSelector::For(const RouterId& router, const ZoneName& zone,
+                              std::uint32_t tried) const {
   const auto in_zone = by_zone_.find(zone);
   const bool near = in_zone != by_zone_.end() && tried < in_zone->second.size();
   if (near) return PreferredBy(router, in_zone->second, tried);
--- a/src/control/feed_choice.h
+++ b/src/control/feed_selector.h
@@ -18,7 +18,7 @@
 /// for a moment, as most are while much is committed, stays one. The leader, which has the most to
 /// do, is a feed only where a zone has no other. A router that says that its feed does not keep up
 /// is named the next. Not thread safe; `now` never goes back.
-class FeedChoice {
+class FeedSelector {
  public:
   /// Whether the members are to be told again.
   bool IsDue(Instant now) const { return now >= due_; }
--- a/src/control/heartbeat_leases.cc
+++ b/src/control/heartbeat_leases.cc
@@ -146,7 +146,7 @@
                                  [&](const auto& one) { return one.span.Contains(range.span); });
   // What ran out, or was told to an earlier leader, is not told again. Then the time must have
   // passed in which the instance could still take an earlier answer that gave the keys.
-  const bool settled = now - omission->at > options_.answer_taken_within;
+  const bool settled = now - omission->at > options_.answer_acceptance_window;
   if (told == released.end() && !settled) return;
   care.released = true;
   if (told != released.end()) care.handover = told->handover;
--- a/src/control/hint_teller.cc
+++ b/src/control/hint_publisher.cc
@@ -1,4 +1,4 @@
-#include "src/control/hint_teller.h"
+#include "src/control/hint_publisher.h"
 
 #include <algorithm>
 #include <cmath>
@@ -23,14 +23,14 @@
 
 }  // namespace
 
-void HintTeller::TakePoll(const traffic::TrafficPoll& poll, Instant now) {
+void HintPublisher::TakePoll(const traffic::TrafficPoll& poll, Instant now) {
   for (const traffic::InstanceSpeed& speed : poll.speeds) {
     // An owner of keys is the only one for them: routers have nothing to choose.
     if (IsOfPool(speed.instance)) outlook_.Take(poll.router, speed, now);
   }
 }
 
-bool HintTeller::IsOfPool(const traffic::InstanceId& id) const {
+bool HintPublisher::IsOfPool(const traffic::InstanceId& id) const {
   const traffic::Instance* const instance = state_.instances().Find(id);
   if (instance == nullptr) return false;
   const traffic::Service* const service =
@@ -38,9 +38,9 @@
   return service != nullptr && !service->keyed;
 }
 
-std::optional<traffic::TrafficHints> HintTeller::Look(const std::vector<traffic::HotKey>& hot,
-                                                      Instant now,
-                                                      std::vector<traffic::InstanceLimit> limits) {
+std::optional<traffic::TrafficHints> HintPublisher::Look(
+    const std::vector<traffic::HotKey>& hot, Instant now,
+    std::vector<traffic::InstanceLimit> limits) {
   look_due_ = now + kLookInterval;
   traffic::TrafficHints hints;
   hints.limits = std::move(limits);
@@ -53,7 +53,7 @@
   return hints;
 }
 
-traffic::TrafficHints HintTeller::All(Instant now) const {
+traffic::TrafficHints HintPublisher::All(Instant now) const {
   traffic::TrafficHints hints;
   hints.instances = outlook_.All(now);
   for (const auto& [service, keys] : hot_keys_) {
@@ -62,8 +62,8 @@
   return hints;
 }
 
-void HintTeller::TellHot(const traffic::HotKey& hot, std::vector<traffic::HotKey>& hints,
-                         Instant now) {
+void HintPublisher::TellHot(const traffic::HotKey& hot, std::vector<traffic::HotKey>& hints,
+                            Instant now) {
   Told& told = hot_keys_[hot.service][hot.key];
   const bool changed = std::abs(hot.admitted - told.admitted) > kAdmittedChange * told.admitted;
   if (!changed && now - told.at < kHotKeyRefresh) return;
@@ -71,8 +71,8 @@
   hints.push_back(hot);
 }
 
-void HintTeller::TellOver(const std::vector<traffic::HotKey>& hot,
-                          std::vector<traffic::HotKey>& hints) {
+void HintPublisher::TellOver(const std::vector<traffic::HotKey>& hot,
+                             std::vector<traffic::HotKey>& hints) {
   for (auto& [service, keys] : hot_keys_) {
     std::erase_if(keys, [&, &of = service](const auto& entry) {
       const bool over = !IsAmong(hot, of, entry.first);
--- a/src/control/hint_teller.h
+++ b/src/control/hint_publisher.h
@@ -6,15 +6,15 @@
 #include <optional>
 #include <vector>
 
-#include "src/control/instance_outlook.h"
+#include "src/control/instance_health_tracker.h"
 #include "src/traffic/traffic_state.h"
 
 namespace graniteseam::control {
 
 /// Belongs to one leadership. Not thread safe; `now` never goes back.
-class HintTeller {
+class HintPublisher {
  public:
-  explicit HintTeller(const traffic::TrafficState& state) : state_(state) {}
+  explicit HintPublisher(const traffic::TrafficState& state) : state_(state) {}
 
   void TakePoll(const traffic::TrafficPoll& poll, Instant now);
 
@@ -40,7 +40,7 @@
   void TellOver(const std::vector<traffic::HotKey>& hot, std::vector<traffic::HotKey>& hints);
 
   const traffic::TrafficState& state_;
-  InstanceOutlook outlook_;
+  InstanceHealthTracker outlook_;
   std::map<ServiceName, std::map<std::uint32_t, Told>> hot_keys_;
   Instant look_due_{};
 };
--- a/src/control/instance_outlook.cc
+++ b/src/control/instance_health_tracker.cc
@@ -1,4 +1,4 @@
-#include "src/control/instance_outlook.h"
+#include "src/control/instance_health_tracker.h"
 
 #include <algorithm>
 #include <chrono>
@@ -31,17 +31,17 @@
 
 }  // namespace
 
-void InstanceOutlook::FadingSum::Add(double amount, Duration memory, Instant now) {
+void InstanceHealthTracker::FadingSum::Add(double amount, Duration memory, Instant now) {
   value = At(memory, now) + amount;
   at = now;
 }
 
-double InstanceOutlook::FadingSum::At(Duration memory, Instant now) const {
+double InstanceHealthTracker::FadingSum::At(Duration memory, Instant now) const {
   return value == 0 ? 0 : value * Fading(now - at, memory);
 }
 
-void InstanceOutlook::Take(const RouterId& router, const traffic::InstanceSpeed& speed,
-                           Instant now) {
+void InstanceHealthTracker::Take(const RouterId& router, const traffic::InstanceSpeed& speed,
+                                 Instant now) {
   Seen& seen = seen_[speed.instance];
   seen.heard = now;
   seen.answers.Add(speed.whole - speed.failures, kAnswerMemory, now);
@@ -61,7 +61,7 @@
   seen.latency_us += part * (sample - seen.latency_us);
 }
 
-std::uint32_t InstanceOutlook::FailingPercent(const Seen& seen, Instant now) {
+std::uint32_t InstanceHealthTracker::FailingPercent(const Seen& seen, Instant now) {
   const double failures = seen.failures.At(kFailureMemory, now);
   if (failures < kFailuresMinimum || !seen.failed_at_several) return 0;
   const double answers =
@@ -69,12 +69,12 @@
   return static_cast<std::uint32_t>(std::lround(100 * failures / (failures + answers)));
 }
 
-std::uint32_t InstanceOutlook::LatencyOf(const Seen& seen) {
+std::uint32_t InstanceHealthTracker::LatencyOf(const Seen& seen) {
   if (seen.latency_weight < kAnswersMinimum) return 0;
   return static_cast<std::uint32_t>(std::lround(seen.latency_us));
 }
 
-std::vector<traffic::InstanceHint> InstanceOutlook::TakeChanges(Instant now) {
+std::vector<traffic::InstanceHint> InstanceHealthTracker::TakeChanges(Instant now) {
   std::vector<traffic::InstanceHint> hints;
   for (auto& [id, seen] : seen_) {
     const double failing = FailingPercent(seen, now);
@@ -99,7 +99,7 @@
   return hints;
 }
 
-std::vector<traffic::InstanceHint> InstanceOutlook::All(Instant now) const {
+std::vector<traffic::InstanceHint> InstanceHealthTracker::All(Instant now) const {
   std::vector<traffic::InstanceHint> hints;
   for (const auto& [id, seen] : seen_) {
     const std::uint32_t failing = FailingPercent(seen, now);
@@ -110,7 +110,7 @@
   return hints;
 }
 
-void InstanceOutlook::ForgetOld(Instant now) {
+void InstanceHealthTracker::ForgetOld(Instant now) {
   std::erase_if(seen_, [&](const auto& entry) { return now - entry.second.heard > kForgotten; });
 }
 
--- a/src/control/instance_outlook.h
+++ b/src/control/instance_health_tracker.h
@@ -13,7 +13,7 @@
 
 /// Tells only what changed much, since each hint goes to all routers. Not thread safe; `now` never
 /// goes back.
-class InstanceOutlook {
+class InstanceHealthTracker {
  public:
   void Take(const RouterId& router, const traffic::InstanceSpeed& speed, Instant now);
   /// What changed much since it was told last.
--- a/src/control/range_controller.cc
+++ b/src/control/range_controller.cc
@@ -71,7 +71,7 @@
   for (const auto& [service, ranges] : state_.ranges().services()) {
     const bool by_heartbeat = LeasedByHeartbeat(service);
     const Duration length = by_heartbeat ? options_.lease_length : options_.hold;
-    const Instant given = by_heartbeat ? now : now + options_.order_sent_within;
+    const Instant given = by_heartbeat ? now : now + options_.order_send_timeout;
     for (const auto& [first, range] : ranges) {
       if (range.phase == RangePhase::kUnowned) continue;
       NoteGrant(range.owner, service, range.span, EndOfGrant(length, given));
@@ -273,13 +273,13 @@
   if (care.released) return care.handover.empty() ? "released" : "released with a handover";
   if (care.refused) return "the fence was refused";
   if (replaced_.contains(range.owner)) return "another process answered at its address";
-  const bool displaced = EndIsProven(state_.instances(), liveness_, range.owner);
+  const bool displaced = HasProvablyEnded(state_.instances(), liveness_, range.owner);
   return displaced ? "another instance reported from its address" : "the last lease ran out";
 }
 
 bool RangeController::HasEnded(const traffic::InstanceId& instance) const {
   const auto replaced = replaced_.find(instance);
-  if (replaced == replaced_.end()) return EndIsProven(state_.instances(), liveness_, instance);
+  if (replaced == replaced_.end()) return HasProvablyEnded(state_.instances(), liveness_, instance);
   // Whoever is heard of for so long after that answer lives: the answer was wrong.
   return !liveness_.HeardSince(instance, replaced->second + kHeartbeatLateMaximum);
 }
@@ -342,7 +342,7 @@
     if (avoided.contains(id) || HasEnded(id)) continue;
     if (by_heartbeat && !HeardLately(id, now)) continue;
     const double slots = static_cast<double>(std::max<std::int64_t>(1, instance.report.slots));
-    const bool spared = options_.spares_warming_up && instance.WarmsUp();
+    const bool spared = options_.excludes_warming_up && instance.WarmsUp();
     RangeCandidate& candidate = (spared ? warming_up : candidates).emplace_back();
     candidate.id = id;
     candidate.zone = instance.report.zone;
@@ -502,7 +502,7 @@
     order.handover = range.handover;
     order.limit = options_.grant_limit;
   }
-  order.not_after = now + options_.order_sent_within;
+  order.not_after = now + options_.order_send_timeout;
   order.number = last_number_ = last_number_.Next();
   return order;
 }
--- a/src/control/crash_tally.cc
+++ b/src/control/suspect_detector.cc
@@ -1,4 +1,4 @@
-#include "src/control/crash_tally.h"
+#include "src/control/suspect_detector.h"
 
 #include <algorithm>
 #include <chrono>
@@ -30,12 +30,12 @@
 
 }  // namespace
 
-void CrashTally::TakePoll(const traffic::TrafficPoll& poll, Instant now) {
+void SuspectDetector::TakePoll(const traffic::TrafficPoll& poll, Instant now) {
   for (const traffic::LostAttempt& lost : poll.losses) TakeLoss(lost, now);
   for (const traffic::AnsweredRequest& answered : poll.answered) TakeAnswer(answered, now);
 }
 
-void CrashTally::TakeLoss(const traffic::LostAttempt& lost, Instant now) {
+void SuspectDetector::TakeLoss(const traffic::LostAttempt& lost, Instant now) {
   const traffic::Instance* const instance = state_.instances().Find(lost.instance);
   // One that leaves as planned ends whatever it runs.
   const bool planned = instance == nullptr || instance->report.draining ||
@@ -56,7 +56,7 @@
   losses.insert(later, loss);
 }
 
-bool CrashTally::MakeRoom(std::vector<Loss>& losses, Instant now) const {
+bool SuspectDetector::MakeRoom(std::vector<Loss>& losses, Instant now) const {
   Instant last_end{};
   for (auto it = losses.begin(); it != losses.end(); ++it) {
     const bool follows = it->sent_at >= last_end;
@@ -69,7 +69,7 @@
   return false;
 }
 
-void CrashTally::TakeAnswer(const traffic::AnsweredRequest& answered, Instant now) {
+void SuspectDetector::TakeAnswer(const traffic::AnsweredRequest& answered, Instant now) {
   const Instant at = now - std::chrono::milliseconds(answered.answered_ms_ago);
   const auto found = tallies_.find(answered.digest);
   const bool has_losses = found != tallies_.end() && !found->second.losses.empty();
@@ -84,7 +84,7 @@
   std::erase_if(tally.losses, [&](const Loss& loss) { return loss.lost_at <= tally.answered_at; });
 }
 
-CrashTally::Fate CrashTally::FateOf(const Loss& loss, Instant now) const {
+SuspectDetector::Fate SuspectDetector::FateOf(const Loss& loss, Instant now) const {
   const Instant since = loss.lost_at + kHeartbeatOnItsWay;
   if (liveness_.HeardTwiceSince(loss.instance, since)) return Fate::kSurvived;
   // A new leader has heard of nobody before its start.
@@ -93,8 +93,9 @@
   return now - from >= kEndIsCertainAfter ? Fate::kEnded : Fate::kOpen;
 }
 
-CrashTally::Ends CrashTally::EndsUnder(const traffic::SuspectRequest* recorded, const Tally& tally,
-                                       const Instances& blamed, Instant now) const {
+SuspectDetector::Ends SuspectDetector::EndsUnder(const traffic::SuspectRequest* recorded,
+                                                 const Tally& tally, const Instances& blamed,
+                                                 Instant now) const {
   Ends ends;
   std::vector<traffic::InstanceId>& instances = ends.instances;
   // When those recorded by an earlier leadership ended is not known: any answer may be newer. What
@@ -128,7 +129,7 @@
   return ends;
 }
 
-void CrashTally::Decide(std::vector<CommandBody>& commands, Instant now) {
+void SuspectDetector::Decide(std::vector<CommandBody>& commands, Instant now) {
   if (now < look_due_) return;
   look_due_ = now + kLookInterval;
   ForgetOld(now);
@@ -141,7 +142,7 @@
   if (!cleared_.empty()) commands.emplace_back(ClearSuspectsCommand{std::exchange(cleared_, {})});
 }
 
-CrashTally::Instances CrashTally::BlamedOnOthers(Instant now) const {
+SuspectDetector::Instances SuspectDetector::BlamedOnOthers(Instant now) const {
   Instances blamed;
   for (const auto& [digest, tally] : tallies_) {
     if (tally.answered_before || tally.answered_at != Instant{}) continue;
@@ -152,8 +153,8 @@
   return blamed;
 }
 
-void CrashTally::DecideOn(traffic::RequestDigest digest, const Tally& tally,
-                          const Instances& blamed, Instant now) {
+void SuspectDetector::DecideOn(traffic::RequestDigest digest, const Tally& tally,
+                               const Instances& blamed, Instant now) {
   const traffic::SuspectRequest* const recorded = state_.suspects().Find(digest);
   Ends ends = EndsUnder(recorded, tally, blamed, now);
   const bool is_suspect = ends.instances.size() >= kEndedToRecord;
@@ -172,7 +173,8 @@
   Record(digest, std::move(ends.instances));
 }
 
-void CrashTally::Record(traffic::RequestDigest digest, std::vector<traffic::InstanceId> ended) {
+void SuspectDetector::Record(traffic::RequestDigest digest,
+                             std::vector<traffic::InstanceId> ended) {
   traffic::SuspectRequest suspect{digest, std::move(ended), 0};
   std::string inputs = "ended:";
   for (const traffic::InstanceId& instance : suspect.ended) inputs += " " + instance.value;
@@ -180,12 +182,12 @@
   recorded_.push_back(std::move(suspect));
 }
 
-void CrashTally::Clear(traffic::RequestDigest digest, std::string_view why) {
+void SuspectDetector::Clear(traffic::RequestDigest digest, std::string_view why) {
   notes_.push_back({"clear_suspect", digest, std::string(why)});
   cleared_.push_back(digest);
 }
 
-void CrashTally::FollowSuspects(Instant now) {
+void SuspectDetector::FollowSuspects(Instant now) {
   std::erase_if(standing_,
                 [&](const auto& entry) { return state_.suspects().Find(entry.first) == nullptr; });
   for (const auto& [digest, suspect] : state_.suspects().suspects()) {
@@ -196,7 +198,7 @@
   }
 }
 
-void CrashTally::ForgetOld(Instant now) {
+void SuspectDetector::ForgetOld(Instant now) {
   for (auto& [digest, tally] : tallies_) {
     std::erase_if(tally.losses, [&](const Loss& loss) { return now - loss.lost_at > kLossKept; });
   }
@@ -206,7 +208,7 @@
   });
 }
 
-Instant CrashTally::NextDue() const {
+Instant SuspectDetector::NextDue() const {
   const bool idle = tallies_.empty() && state_.suspects().suspects().empty();
   return idle ? Instant::max() : look_due_;
 }
--- a/src/control/crash_tally.h
+++ b/src/control/suspect_detector.h
@@ -29,10 +29,10 @@
 ///
 /// Lives as long as one leadership: routers tell a new leader again what they lost. Bounded; what
 /// was lost long ago is forgotten. Not thread safe; `now` never goes back.
-class CrashTally {
+class SuspectDetector {
  public:
   /// @param now the start of the leadership.
-  CrashTally(const traffic::TrafficState& state, const InstanceLiveness& liveness, Instant now)
+  SuspectDetector(const traffic::TrafficState& state, const InstanceLiveness& liveness, Instant now)
       : state_(state), liveness_(liveness), start_(now) {}
 
   void TakePoll(const traffic::TrafficPoll& poll, Instant now);
--- a/src/control/traffic_leader.h
+++ b/src/control/traffic_leader.h
@@ -9,14 +9,14 @@
 #include <vector>
 
 #include "src/control/configuration_rollout.h"
-#include "src/control/crash_tally.h"
 #include "src/control/displacement.h"
-#include "src/control/hint_teller.h"
+#include "src/control/hint_publisher.h"
 #include "src/control/instance_limits.h"
 #include "src/control/instance_liveness.h"
 #include "src/control/quota_ledger.h"
 #include "src/control/range_controller.h"
 #include "src/control/replicated_state.h"
+#include "src/control/suspect_detector.h"
 #include "src/control/traffic_sessions.h"
 
 namespace graniteseam::control {
@@ -27,9 +27,9 @@
   TrafficLeader(const TrafficOptions& options, const ReplicatedState& state, Term term,
                 OrderNumber orders_used, std::uint64_t pushes_used, Instant now)
       : state_(state),
-        liveness_(options.instance_silence, now),
+        liveness_(options.instance_timeout, now),
         ranges_(options.ranges, state.traffic(), liveness_, limits_, orders_used, now),
-        sessions_(state.traffic(), now, options.pushes_are_timed, pushes_used),
+        sessions_(state.traffic(), now, options.reports_push_completion, pushes_used),
         hints_(state.traffic()),
         crashes_(state.traffic(), liveness_, now),
         rollout_(now),
@@ -48,7 +48,7 @@
   }
   /// What answering routers has cost so far: routers looked at, and messages made.
   std::uint64_t looks() const { return sessions_.looks() + rollout_.looks(); }
-  CrashTally& crashes() { return crashes_; }
+  SuspectDetector& crashes() { return crashes_; }
   ConfigurationRollout& rollout() { return rollout_; }
 
   /// @param feed where the router is to take the state from.
@@ -123,7 +123,8 @@
   /// The instance that lives gets its address back.
   void DeregisterForerunners(std::vector<CommandBody>& commands, Instant now) {
     forerunners_due_ = now + kForerunnersInterval;
-    for (Forerunner& one : Forerunners(state_.traffic().instances(), liveness_, now)) {
+    for (StaleAddressHolder& one :
+         FindStaleAddressHolders(state_.traffic().instances(), liveness_, now)) {
       commands.emplace_back(DeregisterInstanceCommand{one.id});
       ++one.displaced.sequence;  // Newer than what is known, so that it is taken.
       commands.emplace_back(ReportInstancesCommand{{one.displaced}});
@@ -135,8 +136,8 @@
   InstanceLimits limits_;
   RangeController ranges_;
   TrafficSessions sessions_;
-  HintTeller hints_;
-  CrashTally crashes_;
+  HintPublisher hints_;
+  SuspectDetector crashes_;
   ConfigurationRollout rollout_;
   QuotaLedger quotas_;
   LogIndex proposed_;
--- a/src/daemon/control/control_driver.cc
+++ b/src/daemon/control/control_driver.cc
@@ -51,7 +51,7 @@
         servers_leased(registry.Gauge(runtime::Metric::kControlServersLeased)),
         shard_moves(registry.Gauge(runtime::Metric::kControlShardMoves)),
         queue_length(registry.Gauge(runtime::Metric::kControlEventQueueLength)),
-        decision_looks(registry.Counter(runtime::Metric::kControlDecisionLooks)),
+        decision_evaluations(registry.Counter(runtime::Metric::kControlDecisionLooks)),
         drained_zones(registry.Gauge(runtime::Metric::kControlDrainedZones)),
         lanes{LaneStatistics(registry, EventLane::kConsensus),
               LaneStatistics(registry, EventLane::kOperator),
@@ -82,7 +82,7 @@
   runtime::GaugeHandle servers_leased;
   runtime::GaugeHandle shard_moves;
   runtime::GaugeHandle queue_length;
-  runtime::CounterHandle decision_looks;
+  runtime::CounterHandle decision_evaluations;
   runtime::GaugeHandle drained_zones;
   std::uint64_t looks_told = 0;                   ///< Counted up to here.
   std::array<LaneStatistics, kEventLanes> lanes;  ///< In the order of EventLane.
@@ -348,7 +348,7 @@
     counter.Increment(static_cast<double>(total - told));
     told = total;
   };
-  count(statistics_->decision_looks, statistics_->looks_told, node_.decision_looks());
+  count(statistics_->decision_evaluations, statistics_->looks_told, node_.decision_evaluations());
   for (auto& of : statistics_->lanes) {
     count(of.dropped, of.dropped_told, queue_.dropped(of.lane));
   }
--- a/src/daemon/control/control_process.cc
+++ b/src/daemon/control/control_process.cc
@@ -244,7 +244,7 @@
   };
   outputs.stop = [this] { stop_signals_.RequestStop(); };
   control::ControlOptions options = settings_.node;
-  options.traffic.pushes_are_timed = true;
+  options.traffic.reports_push_completion = true;
   options.consensus.commit_told_within = kCommitToldWithin;
   options.reviewer_keys = settings_.reviewers;
   options.membership.voters = settings_.WantedVoters();
--- a/src/daemon/control/control_settings.cc
+++ b/src/daemon/control/control_settings.cc
@@ -212,7 +212,7 @@
                    settings.node.traffic.quotas.slack, 0.0, 1e6);
   reader.AddSwitch("spare_warming_up",
                    "Gives no keys to instances that warm up while there are others.",
-                   settings.node.traffic.ranges.spares_warming_up);
+                   settings.node.traffic.ranges.excludes_warming_up);
   reader.AddSwitch("initialise", "Creates the group when the data folder is empty.",
                    settings.initialise);
   reader.AddAddressList("platform", "Where the platform's list of machines is served.",
--- a/tests/control/displacement_test.cc
+++ b/tests/control/displacement_test.cc
@@ -45,27 +45,27 @@
 
 Test(displacement, end_is_proven_once_no_heartbeat_of_a_forerunner_can_come) {
   const Displaced soon(kHeartbeatLateMaximum);
-  cr_assert(!EndIsProven(soon.instances, soon.liveness, {"i-1"}));
+  cr_assert(!HasProvablyEnded(soon.instances, soon.liveness, {"i-1"}));
   const Displaced later(kHeartbeatLateMaximum + kSecond);
-  cr_assert(EndIsProven(later.instances, later.liveness, {"i-1"}));
-  cr_assert(!EndIsProven(later.instances, later.liveness, {"i-2"}));
-  cr_assert(!EndIsProven(later.instances, later.liveness, {"i-3"}));
+  cr_assert(HasProvablyEnded(later.instances, later.liveness, {"i-1"}));
+  cr_assert(!HasProvablyEnded(later.instances, later.liveness, {"i-2"}));
+  cr_assert(!HasProvablyEnded(later.instances, later.liveness, {"i-3"}));
 }
 
 Test(displacement, new_leader_that_never_heard_of_the_displaced_one_proves_nothing) {
   const Displaced displaced(kHeartbeatLateMaximum + kSecond);
   const InstanceLiveness fresh(4 * kSecond, kStart + 20 * kSecond);
-  cr_assert(!EndIsProven(displaced.instances, fresh, {"i-1"}));
+  cr_assert(!HasProvablyEnded(displaced.instances, fresh, {"i-1"}));
 }
 
 Test(displacement, instance_is_a_forerunner_when_the_displaced_one_goes_on_for_long) {
   Displaced displaced(kSecond);
   Instant now = kStart + kSecond + kHeartbeatLateMaximum;
   displaced.Hear("i-1", 9, now);
-  cr_assert(Forerunners(displaced.instances, displaced.liveness, now).empty());
+  cr_assert(FindStaleAddressHolders(displaced.instances, displaced.liveness, now).empty());
   now += kSecond;
   displaced.Hear("i-1", 10, now);
-  const auto forerunners = Forerunners(displaced.instances, displaced.liveness, now);
+  const auto forerunners = FindStaleAddressHolders(displaced.instances, displaced.liveness, now);
   cr_assert(forerunners.size() == 1 && forerunners[0].id.value == "i-2");
   cr_assert(forerunners[0].displaced.id.value == "i-1");
 }
@@ -76,7 +76,7 @@
   for (int s = 3; s <= 13; ++s) displaced.Hear("i-2", s, kStart + s * kSecond);
   const Instant now = kStart + 13 * kSecond;
   displaced.Hear("i-1", 9, now);
-  cr_assert(Forerunners(displaced.instances, displaced.liveness, now).empty());
+  cr_assert(FindStaleAddressHolders(displaced.instances, displaced.liveness, now).empty());
 }
 
 /// The late heartbeat of a process that ended before i-1 began displaces i-1, which lives, and
--- a/tests/control/feed_choice_test.cc
+++ b/tests/control/feed_selector_test.cc
@@ -1,4 +1,4 @@
-#include "src/control/feed_choice.h"
+#include "src/control/feed_selector.h"
 
 #include <criterion/criterion.h>
 
@@ -30,7 +30,7 @@
 }  // namespace
 
 Test(feed_choice, routers_of_a_zone_are_spread_over_its_members) {
-  FeedChoice choice;
+  FeedSelector choice;
   choice.Take(MakeMember(1, "a"), {Peer(2, "a"), Peer(3, "a"), Peer(4, "b"), Peer(5, "b")}, kStart);
   std::map<std::string, int> taken;
   for (int number = 0; number < 400; ++number) ++taken[choice.For(Router(number), {"a"}, 0)];
@@ -42,9 +42,9 @@
 }
 
 Test(feed_choice, router_keeps_its_member_whoever_leads) {
-  FeedChoice choice;
+  FeedSelector choice;
   choice.Take(MakeMember(1, "a"), {Peer(3, "b"), Peer(2, "b"), Peer(4, "c")}, kStart);
-  FeedChoice other;
+  FeedSelector other;
   other.Take(MakeMember(4, "c"), {Peer(2, "b"), Peer(3, "b"), Peer(1, "a")}, kStart);
   for (int number = 0; number < 50; ++number) {
     cr_assert_eq(choice.For(Router(number), {"b"}, 0), other.For(Router(number), {"b"}, 0));
@@ -52,16 +52,16 @@
 }
 
 Test(feed_choice, leader_feeds_its_zone_only_where_that_has_no_other_member) {
-  FeedChoice choice;
+  FeedSelector choice;
   choice.Take(MakeMember(1, "a"), {Peer(2, "b")}, kStart);
   cr_assert_eq(choice.For(Router(1), {"a"}, 0), "10.0.0.1:1");
-  FeedChoice alone;
+  FeedSelector alone;
   alone.Take(MakeMember(1, "a"), {}, kStart);
   cr_assert_eq(alone.For(Router(1), {"z"}, 3), "10.0.0.1:1");
 }
 
 Test(feed_choice, router_whose_feed_does_not_keep_up_is_named_each_other_one) {
-  FeedChoice choice;
+  FeedSelector choice;
   choice.Take(MakeMember(1, "a"), {Peer(2, "a"), Peer(3, "a"), Peer(4, "b"), Peer(5, "c")}, kStart);
   std::set<std::string> named;
   for (std::uint32_t tried = 0; tried < 6; ++tried) {
@@ -75,7 +75,7 @@
   silent.silence = std::chrono::seconds(2);
   consensus::PeerStatus behind = Peer(3, "a");
   behind.caught_up = false;
-  FeedChoice choice;
+  FeedSelector choice;
   choice.Take(MakeMember(1, "b"), {silent, behind, Peer(4, "c")}, kStart);
   cr_assert_eq(choice.For(Router(1), {"a"}, 0), "10.0.0.4:1");
 }
@@ -83,7 +83,7 @@
 // Members that were behind for a moment fell out of the list, and every router of their zone was
 // named another feed: a thousand gateways took the state from several members at once.
 Test(feed_choice, router_keeps_its_member_while_others_come_and_go_or_lag_for_a_moment) {
-  FeedChoice choice;
+  FeedSelector choice;
   const std::vector<consensus::PeerStatus> whole{Peer(2, "a"), Peer(3, "a"), Peer(4, "a"),
                                                  Peer(5, "a")};
   choice.Take(MakeMember(1, "b"), whole, kStart);
--- a/tests/control/hint_teller_test.cc
+++ b/tests/control/hint_publisher_test.cc
@@ -1,4 +1,4 @@
-#include "src/control/hint_teller.h"
+#include "src/control/hint_publisher.h"
 
 #include <criterion/criterion.h>
 
@@ -15,7 +15,7 @@
 
 struct Fixture {
   traffic::TrafficState state;
-  HintTeller teller{state};
+  HintPublisher teller{state};
 
   Fixture() {
     traffic::ConfigurationChange change;
--- a/tests/control/range_controller_test.cc
+++ b/tests/control/range_controller_test.cc
@@ -296,7 +296,7 @@
   const RangeOptions options;
   fixture.controller.emplace(options, fixture.state, fixture.liveness, fixture.limits,
                              OrderNumber{}, At(2'000));
-  const Duration longest = options.hold + options.order_sent_within;
+  const Duration longest = options.hold + options.order_send_timeout;
   const auto over = 2'000 + std::chrono::duration_cast<std::chrono::milliseconds>(longest).count();
   fixture.Run(2'000, over);
   cr_assert(fixture.KeysOf(RangePhase::kServing).count("i-1") == 1);
--- a/tests/control/range_order_test.cc
+++ b/tests/control/range_order_test.cc
@@ -106,7 +106,7 @@
   std::size_t orders = 0;
   harness.on_range_order = [&](std::size_t process, const RangeOrder& order) {
     ++orders;
-    cr_assert(order.not_after == harness.now() + RangeOptions{}.order_sent_within);
+    cr_assert(order.not_after == harness.now() + RangeOptions{}.order_send_timeout);
     harness.GiveRangeResult(process, {order.number, RangeOrderResult::Outcome::kDone, ""});
   };
   start_ranges(harness);
--- a/tests/control/crash_tally_test.cc
+++ b/tests/control/suspect_detector_test.cc
@@ -1,5 +1,5 @@
 // Which requests are recorded as the cause of their servers' ends, and which are spared.
-#include "src/control/crash_tally.h"
+#include "src/control/suspect_detector.h"
 
 #include <criterion/criterion.h>
 
@@ -21,7 +21,7 @@
 struct Fixture {
   traffic::TrafficState state;
   InstanceLiveness liveness{std::chrono::seconds(4), kStart};
-  CrashTally tally{state, liveness, kStart};
+  SuspectDetector tally{state, liveness, kStart};
   std::uint64_t index = 1;
 
   Fixture() {
--- a/tests/control_daemon/crowded_group.cc
+++ b/tests/control_daemon/crowded_group.cc
@@ -46,7 +46,7 @@
   options.clock_drift_bound = 0.02;
   options.traffic.ranges.renewal_interval = kRenewalInterval;
   options.membership.enabled = true;
-  options.traffic.pushes_are_timed = true;
+  options.traffic.reports_push_completion = true;
   options.membership.voters = voters;
   return options;
 }
@@ -189,9 +189,9 @@
   control.deciding.free = std::max(control.deciding.free, now_);
   std::vector<control::ControlEffects> pending;
   const auto run = [&](const auto& step) {
-    const std::uint64_t looks = control.node->decision_looks();
+    const std::uint64_t looks = control.node->decision_evaluations();
     pending.push_back(step(control.deciding.free));
-    const auto looked = static_cast<double>(control.node->decision_looks() - looks);
+    const auto looked = static_cast<double>(control.node->decision_evaluations() - looks);
     const Duration deciding(static_cast<std::int64_t>(looked * kLookCostMicros));
     Do(control, control.deciding, now_, kEventCost + deciding);
   };
@@ -230,9 +230,9 @@
     for (const auto& effects : pending) CarryOut(control, effects);
     pending.clear();
     for (const std::uint64_t sequence : durable) {
-      const std::uint64_t looks = control.node->decision_looks();
+      const std::uint64_t looks = control.node->decision_evaluations();
       pending.push_back(control.node->OnPersistDone(sequence, control.deciding.free));
-      const auto looked = static_cast<double>(control.node->decision_looks() - looks);
+      const auto looked = static_cast<double>(control.node->decision_evaluations() - looks);
       Do(control, control.deciding, now_,
          kEventCost + Duration(static_cast<std::int64_t>(looked * kLookCostMicros)));
     }
