--- a/include/graniteseam/control/control_node.h
+++ b/include/graniteseam/control/control_node.h
@@ -27,7 +27,7 @@
   double clock_drift_bound = 0.001;  ///< Rate by which two machines' clocks may differ.
   std::size_t compact_after_entries = 10'000;
   TrafficOptions traffic;
-  MembershipKeeperOptions membership;
+  MembershipRepairOptions membership;
   std::map<std::string, std::string> reviewer_keys;  ///< Reviewer -> Ed25519 public key, base64.
 };
 
--- a/include/graniteseam/control/traffic_options.h
+++ b/include/graniteseam/control/traffic_options.h
@@ -54,7 +54,7 @@
   bool reports_push_completion = false;
 };
 
-struct MembershipKeeperOptions {
+struct MembershipRepairOptions {
   bool enabled = false;
   std::size_t voters = 3;             ///< Wanted; more machines are learners in reserve.
   Duration replace_after{6'000'000};  ///< Silence after which a reserve takes a voter's place.
--- a/src/control/configuration_rollout.h
+++ b/src/control/configuration_rollout.h
@@ -42,8 +42,8 @@
 
   /// Holds the acknowledgement of a change. One that was sent again waits no longer than the first:
   /// its operator asks again each second.
-  /// @param version of the newest change, as Committed() was told, or an earlier leader.
-  void Hold(std::uint64_t request, std::uint64_t version);
+  /// @param version of the newest change, as RecordCommit() was told, or an earlier leader.
+  void HoldAcknowledgement(std::uint64_t request, std::uint64_t version);
   /// An acknowledgement that is to leave.
   struct Due {
     std::uint64_t request = 0;
@@ -55,20 +55,21 @@
 
   /// A change was committed and applied here.
   /// @param version of the traffic state that first has it.
-  void Committed(traffic::ConfigurationVersion configuration, std::uint64_t version, Instant now);
+  void RecordCommit(traffic::ConfigurationVersion configuration, std::uint64_t version,
+                    Instant now);
   /// A router told by a poll which version it has.
-  void Heard(const RouterId& router, std::uint64_t version, Instant now);
+  void RecordPoll(const RouterId& router, std::uint64_t version, Instant now);
 
   /// Looks for routers that are behind.
-  void Look(Instant now);
-  /// When Look() may find a router that is behind, or TakeDue() an acknowledgement.
+  void Evaluate(Instant now);
+  /// When Evaluate() may find a router that is behind, or TakeDue() an acknowledgement.
   Instant NextDue() const;
 
   /// What happened since the last call.
   std::vector<RolloutNote> TakeNotes() { return std::exchange(notes_, {}); }
 
   /// Routers looked at so far, each as often as it was.
-  std::uint64_t looks() const { return looks_; }
+  std::uint64_t looks() const { return evaluations_; }
 
  private:
   struct Change {
@@ -78,8 +79,8 @@
   };
   struct Router {
     std::uint64_t version = 0;  ///< As it told.
-    Instant heard{};
-    bool told_behind = false;
+    Instant last_poll_at{};
+    bool reported_behind = false;
     bool awaited = true;  ///< Before acknowledgements leave.
   };
   struct Held {
@@ -88,31 +89,32 @@
     Instant until;
   };
 
-  void PlanLook(Instant now);
+  void ScheduleRouterCheck(Instant now);
   bool IsAwaited(const Router& router, std::uint64_t version, Instant now) const;
   /// Whether nobody is to be waited for any more.
-  bool MayLeave(const Held& held, Instant now) const;
+  bool IsReadyToAcknowledge(const Held& held, Instant now) const;
   /// The same, but not at each poll: asked again when as much time went by as a look takes.
-  bool LooksAgain(Instant now);
+  bool BeginCheck(Instant now);
   /// Notes the routers that an acknowledgement did not wait for to the end.
-  void GiveUp(const Held& held, Instant now);
+  void StopAwaiting(const Held& held, Instant now);
   void NoteAcknowledged(const Held& held, Instant now);
   bool IsBehind(const Router& router, Instant now) const;
   void NoteBehind(const RouterId& id, Router& router, Instant now);
   /// Ends the changes that every router which is heard of has.
-  void EndChanges(const RouterId& last, Instant now);
-  bool IsHeard(const Router& router, Instant now) const;
+  void CompleteChanges(const RouterId& last, Instant now);
+  bool IsReachable(const Router& router, Instant now) const;
   void Note(std::string_view what, const Change& change, RouterId router, std::string inputs);
 
   const Instant start_;
   Change newest_;
-  Instant looked_at_{};  ///< By TakeDue().
-  Instant look_again_due_{};
-  mutable std::uint64_t looks_ = 0;
-  std::vector<Held> held_;   ///< In the order of their commits.
-  std::deque<Change> open_;  ///< In the order of their commits; not yet in force everywhere.
+  Instant checked_at_{};  ///< By TakeDue().
+  Instant acknowledgement_check_due_{};
+  mutable std::uint64_t evaluations_ = 0;
+  std::vector<Held> held_;  ///< In the order of their commits.
+  std::deque<Change>
+      changes_in_progress_;  ///< In the order of their commits; not yet in force everywhere.
   std::map<RouterId, Router> routers_;
-  Instant look_due_ = Instant::max();
+  Instant router_check_due_ = Instant::max();
   std::vector<RolloutNote> notes_;
 };
 
--- a/src/control/control_node_impl.cc
+++ b/src/control/control_node_impl.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "graniteseam/common/seeded_defects.h"
-#include "src/control/membership_keeper.h"
+#include "src/control/membership_repair.h"
 
 namespace graniteseam::control {
 
@@ -13,7 +13,7 @@
 
 /// How often old operations are forgotten.
 constexpr Duration kJournalExpiryInterval{10'000'000};
-constexpr Duration kMembershipLookInterval{200'000};
+constexpr Duration kMembershipCheckInterval{200'000};
 
 OwnershipOptions OwnershipOptionsOf(const ControlOptions& options) {
   OwnershipOptions ownership;
@@ -45,7 +45,7 @@
 // --- Entry points ---
 
 ControlEffects ControlNode::Impl::Tick(Instant now, std::int64_t wall_ms) {
-  Absorb(consensus_.Tick(now), now);
+  HandleConsensusEffects(consensus_.Tick(now), now);
   if (Leading(now) && now >= journal_expiry_due_) {
     journal_expiry_due_ = now + kJournalExpiryInterval;
     if (state_.journal().entry_count() > 0) Propose({ExpireJournalCommand{wall_ms}}, now);
@@ -61,7 +61,7 @@
   due = std::min(due, leadership_->traffic.NextDue());
   // Without the leader lease nothing may be done about it, and what renews the lease is a peer's
   // message: waking for it would only spin.
-  const Instant at = std::max(due, finished_at_);
+  const Instant at = std::max(due, last_entry_at_);
   return at < consensus_.leader_lease_end() ? std::min(next, due) : next;
 }
 
@@ -70,18 +70,18 @@
   if (std::holds_alternative<consensus::HeartbeatRelay>(message.payload)) {
     TakeRelay(message, now);
   } else {
-    Absorb(consensus_.Step(message, now), now);
+    HandleConsensusEffects(consensus_.Step(message, now), now);
   }
   return Finish(now);
 }
 
 ControlEffects ControlNode::Impl::OnPersistDone(std::uint64_t sequence, Instant now) {
-  Absorb(consensus_.PersistDone(sequence, now), now);
+  HandleConsensusEffects(consensus_.PersistDone(sequence, now), now);
   return Finish(now);
 }
 
 ControlEffects ControlNode::Impl::OnServerAnswer(const lease::LeaseAnswer& answer, Instant now) {
-  FollowRole(now);
+  UpdateRole(now);
   // A reading that arrives after the leader lease ended may be younger than the next leader's
   // election, so it must not be used.
   if (Leading(now) && leadership_) leadership_->ownership.TakeAnswer(answer, now);
@@ -91,7 +91,7 @@
 ControlEffects ControlNode::Impl::OnRouterMessage(ConnectionId connection,
                                                   const RouterToControl& message, Instant now,
                                                   std::int64_t wall_ms) {
-  FollowRole(now);
+  UpdateRole(now);
   if (const auto* renewal = std::get_if<RouterRenewal>(&message)) {
     OnRenewal(connection, *renewal, now);
   } else if (const auto* poll = std::get_if<TrafficPoll>(&message)) {
@@ -119,7 +119,7 @@
 
 ControlEffects ControlNode::Impl::OnOperatorRequest(RequestId request,
                                                     const OperatorRequest& command, Instant now) {
-  FollowRole(now);
+  UpdateRole(now);
   if (AwaitsLease(now) && !deferred_.full()) {
     deferred_.Add(DeferredOperatorRequest{request, command});
   } else {
@@ -130,13 +130,13 @@
 
 ControlEffects ControlNode::Impl::OnPlatformList(const PlatformList& list, Instant now) {
   platform_list_ = list;
-  FollowRole(now);
+  UpdateRole(now);
   if (Leading(now) && leadership_) leadership_->ownership.TakePlatformList(list, now);
   return Finish(now);
 }
 
 ControlEffects ControlNode::Impl::OnRangeOrderResult(const RangeOrderResult& result, Instant now) {
-  FollowRole(now);
+  UpdateRole(now);
   // Taken without the leader lease too: it tells what an instance did, and the range it is about
   // would wait for it for ever. What follows from it is decided with the lease only.
   if (leadership_) leadership_->traffic.ranges().TakeResult(result, now);
@@ -144,33 +144,33 @@
 }
 
 ControlEffects ControlNode::Impl::OnPushSent(std::uint64_t push, Instant now) {
-  FollowRole(now);
+  UpdateRole(now);
   if (leadership_) leadership_->traffic.sessions().PushSent(push, now);
   return Finish(now);
 }
 
 ControlEffects ControlNode::Impl::OnFeedPushSent(std::uint64_t push, Instant now) {
-  FollowRole(now);
+  UpdateRole(now);
   feed_.PushSent(push, now);
   return Finish(now);
 }
 
 ControlEffects ControlNode::Impl::PrepareStop(Instant now) {
   stopping_ = true;
-  Absorb(consensus_.TransferLeadership(now), now);
+  HandleConsensusEffects(consensus_.TransferLeadership(now), now);
   EndLeadership();
   return Finish(now);
 }
 
 // --- Consensus ---
 
-void ControlNode::Impl::Absorb(consensus::Effects effects, Instant now) {
+void ControlNode::Impl::HandleConsensusEffects(consensus::Effects effects, Instant now) {
   MergePersist(std::move(effects.persist));
   std::move(effects.messages.begin(), effects.messages.end(),
             std::back_inserter(effects_.peer_messages));
   if (effects.restored) RestoreState(*effects.restored);
   for (const auto& entry : effects.committed) ApplyEntry(entry, now);
-  FollowRole(now);
+  UpdateRole(now);
 }
 
 void ControlNode::Impl::MergePersist(consensus::PersistRequest persist) {
@@ -200,7 +200,7 @@
   // Storage has checked the snapshot's checksum, so a state that does not decode was written by
   // another program version. Going on with a part of it would break what was accepted.
   if (ErrorOf(restored) != nullptr) std::abort();
-  compacted_ = snapshot.last_index;
+  compacted_index_ = snapshot.last_index;
 }
 
 void ControlNode::Impl::ApplyEntry(const consensus::LogEntry& entry, Instant now) {
@@ -211,8 +211,8 @@
       leadership_->routers.FollowState();
     }
     if (outcome.configuration_changed) {
-      leadership_->traffic.rollout().Committed(state_.traffic().configuration().current().version,
-                                               entry.index.value, now);
+      leadership_->traffic.rollout().RecordCommit(
+          state_.traffic().configuration().current().version, entry.index.value, now);
     }
   }
   AnswerWaiter(entry, outcome, now);
@@ -232,7 +232,8 @@
   } else if (heartbeat) {
     ReplyToHeartbeat(request, *heartbeat, entry.index, now);
   } else if (outcome.configuration_accepted && leadership_) {
-    leadership_->traffic.rollout().Hold(request, state_.traffic().configuration().changed_at());
+    leadership_->traffic.rollout().HoldAcknowledgement(
+        request, state_.traffic().configuration().changed_at());
   } else {
     Reply(request, Accepted{entry.index});
   }
@@ -247,20 +248,20 @@
   const auto proposed =
       Attempt([&] { return consensus_.Propose(std::move(payloads), now, effects); });
   const auto* index = std::get_if<LogIndex>(&proposed);
-  Absorb(std::move(effects), now);
+  HandleConsensusEffects(std::move(effects), now);
   return index == nullptr ? std::nullopt : std::optional(*index);
 }
 
 void ControlNode::Impl::CompactIfDue(Instant now) {
-  if (state_.applied().value - compacted_.value < options_.compact_after_entries) return;
-  compacted_ = state_.applied();
-  Absorb(consensus_.Compact(compacted_, state_.Save(), now), now);
+  if (state_.applied().value - compacted_index_.value < options_.compact_after_entries) return;
+  compacted_index_ = state_.applied();
+  HandleConsensusEffects(consensus_.Compact(compacted_index_, state_.Save(), now), now);
 }
 
 // --- Leadership ---
 
 std::uint64_t ControlNode::Impl::decision_evaluations() const {
-  return looks_before_ + (leadership_ ? leadership_->traffic.ranges().looks() : 0);
+  return earlier_evaluations_ + (leadership_ ? leadership_->traffic.ranges().looks() : 0);
 }
 
 bool ControlNode::Impl::Leading(Instant now) const {
@@ -270,7 +271,7 @@
          consensus_.leadership_established().has_value() && lease_holds;
 }
 
-void ControlNode::Impl::FollowRole(Instant now) {
+void ControlNode::Impl::UpdateRole(Instant now) {
   if (FollowsLeader()) leader_known_at_ = now;
   const bool leads = consensus_.role() == consensus::Role::kLeader;
   if (leadership_ && (!leads || consensus_.term() != leadership_->term)) EndLeadership();
@@ -295,7 +296,7 @@
     numbers_used_ = leadership_->ownership.leases().numbers_used();
     orders_used_ = leadership_->traffic.ranges().last_number();
     pushes_used_ = leadership_->traffic.sessions().last_push();
-    looks_before_ += leadership_->traffic.ranges().looks();
+    earlier_evaluations_ += leadership_->traffic.ranges().looks();
   }
   leadership_.reset();
   for (const Deferred& deferred : deferred_.TakeAll()) {
@@ -322,8 +323,8 @@
   }
 }
 
-void ControlNode::Impl::Lead(Instant now) {
-  FollowRole(now);
+void ControlNode::Impl::RunLeaderDuties(Instant now) {
+  UpdateRole(now);
   if (!leadership_ || !Leading(now)) return;
   ProposeDecisions(leadership_->ownership, now);
   if (!leadership_ || !Leading(now)) return;
@@ -339,7 +340,7 @@
   ProposeDecisions(leadership_->traffic, now);
   if (!leadership_ || !Leading(now)) return;
   SendTrafficOrders(now);
-  KeepMembership(now);
+  RepairMembership(now);
 }
 
 void ControlNode::Impl::SendTrafficOrders(Instant now) {
@@ -360,9 +361,9 @@
   if (feed_.last_push() != pushes_before) effects_.feed_push = feed_.last_push();
 }
 
-void ControlNode::Impl::KeepMembership(Instant now) {
-  if (!options_.membership.enabled || now < membership_look_due_) return;
-  membership_look_due_ = now + kMembershipLookInterval;
+void ControlNode::Impl::RepairMembership(Instant now) {
+  if (!options_.membership.enabled || now < membership_check_due_) return;
+  membership_check_due_ = now + kMembershipCheckInterval;
   const MembershipView view{consensus_.self(), consensus_.membership(), consensus_.peers(now),
                             consensus_.announced()};
   const auto next = NextMembership(options_.membership, view);
@@ -370,7 +371,7 @@
   consensus::Effects effects;
   // Refused while an earlier change is not committed: the next look finds what is left to do.
   static_cast<void>(Attempt([&] { return consensus_.ProposeMembership(*next, now, effects); }));
-  Absorb(std::move(effects), now);
+  HandleConsensusEffects(std::move(effects), now);
 }
 
 template <class Decider>
@@ -387,7 +388,7 @@
   decider.Proposed(LogIndex{first->value + commands.size() - 1});
 }
 
-void ControlNode::Impl::TakeDeferred(Instant now) {
+void ControlNode::Impl::ProcessDeferred(Instant now) {
   if (deferred_.empty() || !leadership_ || !Leading(now)) return;
   for (const Deferred& deferred : deferred_.TakeAll()) {
     if (const auto* asked = std::get_if<DeferredOperatorRequest>(&deferred)) {
@@ -407,9 +408,9 @@
 }
 
 ControlEffects ControlNode::Impl::Finish(Instant now) {
-  TakeDeferred(now);
-  FollowRelay(now);
-  Lead(now);
+  ProcessDeferred(now);
+  ProcessRelay(now);
+  RunLeaderDuties(now);
   PushFeed(now);
   CompactIfDue(now);
   AcknowledgeChanges(now);
@@ -418,7 +419,7 @@
     effects_.suspect_notes = leadership_->traffic.crashes().TakeNotes();
     effects_.rollout_notes = leadership_->traffic.TakeNotes();
   }
-  finished_at_ = now;
+  last_entry_at_ = now;
   return std::exchange(effects_, {});
 }
 
--- a/src/control/control_node_impl.h
+++ b/src/control/control_node_impl.h
@@ -62,7 +62,7 @@
   };
 
   // Consensus.
-  void Absorb(consensus::Effects effects, Instant now);
+  void HandleConsensusEffects(consensus::Effects effects, Instant now);
   void MergePersist(consensus::PersistRequest persist);
   void RestoreState(const consensus::Snapshot& snapshot);
   void ApplyEntry(const consensus::LogEntry& entry, Instant now);
@@ -71,21 +71,21 @@
   void CompactIfDue(Instant now);
 
   // Leadership.
-  void FollowRole(Instant now);
+  void UpdateRole(Instant now);
   void EndLeadership();
-  void Lead(Instant now);
+  void RunLeaderDuties(Instant now);
   /// Proposes what one part of the leadership decided, all of it at once.
   template <class Decider>
   void ProposeDecisions(Decider& decider, Instant now);
   void SendTrafficOrders(Instant now);
-  void KeepMembership(Instant now);
+  void RepairMembership(Instant now);
   /// Tells operators of the changes of the configuration that routers have.
   void AcknowledgeChanges(Instant now);
   ControlEffects Finish(Instant now);
   /// Whether it leads but for its lease, which may come back with any message of a peer.
   bool AwaitsLease(Instant now) const { return leadership_ && !stopping_ && !Leading(now); }
   /// Takes what was asked meanwhile, once the lease is back.
-  void TakeDeferred(Instant now);
+  void ProcessDeferred(Instant now);
 
   // Requests.
   void TakeRequest(RequestId request, const OperatorRequest& command, Instant now);
@@ -102,7 +102,7 @@
   /// @return false when only the leader may answer it.
   bool RelayHeartbeat(RequestId request, const ReportInstance& heartbeat, Instant now);
   /// Answers relayed heartbeats whose time has come, and tells the leader of those that wait.
-  void FollowRelay(Instant now);
+  void ProcessRelay(Instant now);
   bool FollowsLeader() const;
   void TakeRelay(const consensus::PeerMessage& message, Instant now);
   void TakeRelayedChanges(const std::string& changes, Instant now);
@@ -129,19 +129,19 @@
   DeferredRequests deferred_;
   PlatformList platform_list_;
   ControlEffects effects_;
-  LogIndex compacted_;
-  Term numbers_term_;               ///< Term in which `numbers_used_` counts.
-  std::uint64_t numbers_used_ = 0;  ///< Of earlier lease tables of that term.
-  OrderNumber orders_used_;         ///< By earlier leaderships of this process.
-  std::uint64_t pushes_used_ = 0;   ///< By earlier leaderships of this process.
-  std::uint64_t looks_before_ = 0;  ///< Of decisions of earlier leaderships.
+  LogIndex compacted_index_;
+  Term numbers_term_;                      ///< Term in which `numbers_used_` counts.
+  std::uint64_t numbers_used_ = 0;         ///< Of earlier lease tables of that term.
+  OrderNumber orders_used_;                ///< By earlier leaderships of this process.
+  std::uint64_t pushes_used_ = 0;          ///< By earlier leaderships of this process.
+  std::uint64_t earlier_evaluations_ = 0;  ///< Of decisions of earlier leaderships.
   Instant journal_expiry_due_{};
-  Instant membership_look_due_{};
+  Instant membership_check_due_{};
   HeartbeatRelayer relayer_{state_.traffic()};
   StateFeed feed_;
   FeedSelector feed_selector_;
   Instant leader_known_at_{};  ///< When this process last knew another one that leads.
-  Instant finished_at_{};      ///< Of the latest entry point.
+  Instant last_entry_at_{};    ///< Of the latest entry point.
   bool stopping_ = false;
 };
 
--- a/src/control/control_node_requests.cc
+++ b/src/control/control_node_requests.cc
@@ -13,7 +13,7 @@
 
 /// A process that knew no leader for longer acknowledges nothing: it may be cut off, and a group
 /// that has lost its leader elects the next one sooner.
-constexpr Duration kLeaderMissed{1'500'000};
+constexpr Duration kLeaderLostAfter{1'500'000};
 
 }  // namespace
 
@@ -96,7 +96,7 @@
 
 std::string ControlNode::Impl::FeedFor(const TrafficPoll& poll, Instant now) {
   if (feed_selector_.IsDue(now)) feed_selector_.Take(consensus_.self(), consensus_.peers(now), now);
-  return feed_selector_.For(poll.router, poll.zone, poll.feeds_tried);
+  return feed_selector_.SelectFeed(poll.router, poll.zone, poll.feeds_tried);
 }
 
 bool ControlNode::Impl::FollowsLeader() const {
@@ -106,16 +106,16 @@
 bool ControlNode::Impl::RelayHeartbeat(RequestId request, const ReportInstance& heartbeat,
                                        Instant now) {
   if (stopping_ || consensus_.role() == consensus::Role::kLeader) return false;
-  const bool lately = FollowsLeader() || now - leader_known_at_ < kLeaderMissed;
-  using Taken = HeartbeatRelayer::Taken;
-  const Taken taken = relayer_.Take(request, heartbeat, lately, now);
-  if (taken == Taken::kAcknowledged) Reply(request, Accepted{state_.applied()});
-  return taken != Taken::kRefused;
+  const bool lately = FollowsLeader() || now - leader_known_at_ < kLeaderLostAfter;
+  using Disposition = HeartbeatRelayer::Disposition;
+  const Disposition disposition = relayer_.Take(request, heartbeat, lately, now);
+  if (disposition == Disposition::kAcknowledged) Reply(request, Accepted{state_.applied()});
+  return disposition != Disposition::kRefused;
 }
 
-void ControlNode::Impl::FollowRelay(Instant now) {
+void ControlNode::Impl::ProcessRelay(Instant now) {
   if (FollowsLeader()) {
-    const auto done = relayer_.TakeDone(now);
+    const auto done = relayer_.TakeCompleted(now);
     for (const RequestId request : done.acknowledged) Reply(request, Accepted{state_.applied()});
     for (const RequestId request : done.refused) Reply(request, NotLeaderError());
   }
@@ -136,7 +136,7 @@
   if (!leadership_ || !message.to.SameVoteAs(consensus_.self())) return;
   const auto& relay = std::get<consensus::HeartbeatRelay>(message.payload);
   for (const std::string& id : relay.instances) {
-    leadership_->traffic.liveness().Heard({id}, now);
+    leadership_->traffic.liveness().RecordHeartbeat({id}, now);
   }
   if (!relay.changes.empty()) TakeRelayedChanges(relay.changes, now);
 }
@@ -154,7 +154,7 @@
   }
   ReportInstancesCommand fresh;
   for (const traffic::InstanceReport& report : command->reports) {
-    leadership_->traffic.liveness().Heard(report.id, now);
+    leadership_->traffic.liveness().RecordHeartbeat(report.id, now);
     if (state_.traffic().instances().WouldChange(report)) fresh.reports.push_back(report);
   }
   if (!fresh.reports.empty()) Propose({fresh}, now);
@@ -162,7 +162,7 @@
 
 void ControlNode::Impl::OnHeartbeat(RequestId request, const ReportInstance& heartbeat,
                                     Instant now) {
-  leadership_->traffic.liveness().Heard(heartbeat.report.id, now);
+  leadership_->traffic.liveness().RecordHeartbeat(heartbeat.report.id, now);
   if (!state_.traffic().instances().WouldChange(heartbeat.report)) {
     ReplyToHeartbeat(request, heartbeat, state_.applied(), now);
     return;
@@ -242,7 +242,7 @@
   const auto proposed = Attempt([&] {
     return consensus_.ProposeMembership(std::get<consensus::Membership>(step), now, effects);
   });
-  Absorb(std::move(effects), now);
+  HandleConsensusEffects(std::move(effects), now);
   if (const Error* error = ErrorOf(proposed)) {
     Reply(request, *error);
   } else {
--- a/src/control/displacement.cc
+++ b/src/control/displacement.cc
@@ -13,7 +13,7 @@
 }
 
 /// Whether what was sent to one instance would be taken by the other: same name, same address.
-bool TakesItsOrders(const traffic::Instance& later, const traffic::Instance& former) {
+bool AcceptsOrdersOf(const traffic::Instance& later, const traffic::Instance& former) {
   return later.report.address == former.report.address &&
          traffic::NameOf(later.report.id) == traffic::NameOf(former.report.id);
 }
@@ -25,11 +25,11 @@
   const traffic::Instance* const displaced = instances.Find(id);
   if (displaced == nullptr) return false;
   const traffic::Instance* const successor = SuccessorOf(instances, *displaced);
-  if (successor == nullptr || TakesItsOrders(*successor, *displaced)) return false;
+  if (successor == nullptr || AcceptsOrdersOf(*successor, *displaced)) return false;
   const auto displaced_heard = liveness.FirstHeard(id);
   const auto successor_heard = liveness.FirstHeard(successor->report.id);
   return displaced_heard && successor_heard &&
-         *successor_heard - *displaced_heard > kHeartbeatLateMaximum;
+         *successor_heard - *displaced_heard > kHeartbeatDelayMaximum;
 }
 
 std::vector<StaleAddressHolder> FindStaleAddressHolders(const traffic::InstanceTable& instances,
@@ -38,11 +38,11 @@
   std::vector<StaleAddressHolder> forerunners;
   for (const auto& [id, instance] : instances.instances()) {
     const traffic::Instance* const successor = SuccessorOf(instances, instance);
-    if (successor == nullptr || !liveness.Silent(successor->report.id, now)) continue;
+    if (successor == nullptr || !liveness.IsUnreachable(successor->report.id, now)) continue;
     const auto displaced_heard = liveness.LastHeard(id);
     const auto successor_heard = liveness.FirstHeard(successor->report.id);
     if (!displaced_heard || !successor_heard) continue;
-    if (*displaced_heard - *successor_heard <= kHeartbeatLateMaximum) continue;
+    if (*displaced_heard - *successor_heard <= kHeartbeatDelayMaximum) continue;
     forerunners.push_back({successor->report.id, instance.report});
   }
   return forerunners;
--- a/src/control/displacement.h
+++ b/src/control/displacement.h
@@ -17,7 +17,7 @@
 
 /// The longest time from a heartbeat's sending until the leader has taken it; an assumption of
 /// docs/design/platform.md.
-inline constexpr Duration kHeartbeatLateMaximum{10'000'000};
+inline constexpr Duration kHeartbeatDelayMaximum{10'000'000};
 
 /// Whether a displaced instance has ended for certain, and nothing that was sent to it can act any
 /// more: it had been heard of for so long that its successor's heartbeat can not be one of a
--- a/src/control/feed_selector.cc
+++ b/src/control/feed_selector.cc
@@ -9,14 +9,14 @@
 
 /// A peer that answered so lately, and had all that is committed within the longer time, may be
 /// given routers. One that is slower than that is left by its routers themselves.
-constexpr Duration kResponsive{1'000'000};
-constexpr Duration kFitFor{3'000'000};
-constexpr Duration kTakenFor{100'000};
+constexpr Duration kAnsweredWithin{1'000'000};
+constexpr Duration kEligibleAfterCaughtUp{3'000'000};
+constexpr Duration kUpdateInterval{100'000};
 
 /// The member at a place in the order in which a router prefers them: each by a draw of its own, so
 /// that a member which comes or goes changes nothing for routers of others.
-std::string PreferredBy(const RouterId& router, const std::vector<std::string>& members,
-                        std::size_t place) {
+std::string PreferredMember(const RouterId& router, const std::vector<std::string>& members,
+                            std::size_t place) {
   std::vector<std::pair<std::size_t, std::string>> drawn;
   drawn.reserve(members.size());
   for (const std::string& member : members) {
@@ -30,26 +30,27 @@
 
 void FeedSelector::Take(const consensus::Member& leader,
                         const std::vector<consensus::PeerStatus>& peers, Instant now) {
-  due_ = now + kTakenFor;
+  due_ = now + kUpdateInterval;
   leader_ = leader.address;
   all_.clear();
   by_zone_.clear();
-  std::erase_if(fit_at_, [&](const auto& entry) { return now - entry.second >= kFitFor; });
+  std::erase_if(caught_up_at_,
+                [&](const auto& entry) { return now - entry.second >= kEligibleAfterCaughtUp; });
   for (const consensus::PeerStatus& peer : peers) {
-    if (peer.caught_up) fit_at_[peer.member.address] = now;
-    if (peer.silence >= kResponsive || !fit_at_.contains(peer.member.address)) continue;
+    if (peer.caught_up) caught_up_at_[peer.member.address] = now;
+    if (peer.silence >= kAnsweredWithin || !caught_up_at_.contains(peer.member.address)) continue;
     all_.push_back(peer.member.address);
     by_zone_[peer.member.zone].push_back(peer.member.address);
   }
   if (by_zone_[leader.zone].empty()) by_zone_[leader.zone].push_back(leader_);
 }
 
-std::string FeedSelector::For(const RouterId& router, const ZoneName& zone,
-                              std::uint32_t tried) const {
+std::string FeedSelector::SelectFeed(const RouterId& router, const ZoneName& zone,
+                                     std::uint32_t tried) const {
   const auto in_zone = by_zone_.find(zone);
   const bool near = in_zone != by_zone_.end() && tried < in_zone->second.size();
-  if (near) return PreferredBy(router, in_zone->second, tried);
-  return all_.empty() ? leader_ : PreferredBy(router, all_, tried % all_.size());
+  if (near) return PreferredMember(router, in_zone->second, tried);
+  return all_.empty() ? leader_ : PreferredMember(router, all_, tried % all_.size());
 }
 
 }  // namespace graniteseam::control
--- a/src/control/feed_selector.h
+++ b/src/control/feed_selector.h
@@ -26,13 +26,13 @@
             Instant now);
 
   /// @return the internal address of the router's feed.
-  std::string For(const RouterId& router, const ZoneName& zone, std::uint32_t tried) const;
+  std::string SelectFeed(const RouterId& router, const ZoneName& zone, std::uint32_t tried) const;
 
  private:
   Instant due_{};
   std::string leader_;
-  std::map<std::string, Instant> fit_at_;  ///< When members last had all that was committed.
-  std::vector<std::string> all_;           ///< Without the leader.
+  std::map<std::string, Instant> caught_up_at_;  ///< When members last had all that was committed.
+  std::vector<std::string> all_;                 ///< Without the leader.
   std::map<ZoneName, std::vector<std::string>> by_zone_;
 };
 
--- a/src/control/heartbeat_leases.cc
+++ b/src/control/heartbeat_leases.cc
@@ -21,9 +21,9 @@
 
 /// Heartbeats without a leased range after which its fence is taken for refused: one answer may
 /// have been lost, and one heartbeat may have been sent before the answer came.
-constexpr int kUnheededMaximum = 4;
+constexpr int kHeartbeatsWithoutRangeMaximum = 4;
 /// Instances that let go of keys beat each 100 ms; what is longer than some of that is regular.
-constexpr Duration kShortestInterval{300'000};
+constexpr Duration kHeartbeatIntervalMinimum{300'000};
 
 /// What is left of `spans` without `hole`.
 std::vector<KeySpan> Without(const std::vector<KeySpan>& spans, const KeySpan& hole) {
@@ -74,7 +74,7 @@
   if (report.sequence <= holder.sequence) return std::nullopt;
   holder.sequence = report.sequence;
   const Duration since = now - holder.heard;
-  if (kShortestInterval < since && since < options_.lease_pickup) holder.interval = since;
+  if (kHeartbeatIntervalMinimum < since && since < options_.lease_pickup) holder.interval = since;
   holder.heard = now;
   traffic::KeyLeases leases;
   leases.length_ms = options_.lease_length.count() / 1'000;
@@ -164,7 +164,7 @@
         return one.fence == range.fence && one.span.Overlaps(range.span);
       });
   care.unheeded = told ? 0 : care.unheeded + 1;
-  care.refused = care.refused || care.unheeded > kUnheededMaximum;
+  care.refused = care.refused || care.unheeded > kHeartbeatsWithoutRangeMaximum;
 }
 
 std::vector<KeySpan> RangeController::SpansToLease(const KeyRange& range, const RangeCare& care) {
--- a/src/control/heartbeat_relayer.h
+++ b/src/control/heartbeat_relayer.h
@@ -23,28 +23,28 @@
 /// So hundreds of instances neither cross zones nor cost the leader a call each, also when they all
 /// start or drain at the same moment. Without a leader they wait here instead of asking round: 290
 /// of them that came again 150 ms after each refusal took all of the 0.06 of a core that each of
-/// six processes had, and none could elect. Each waits for `kWait` at most. Not thread safe; `now`
-/// never goes back.
+/// six processes had, and none could elect. Each waits for `kWaitMaximum` at most. Not thread safe;
+/// `now` never goes back.
 class HeartbeatRelayer {
  public:
-  enum class Taken {
+  enum class Disposition {
     kAcknowledged,  ///< It changes nothing.
-    kWaits,         ///< TakeDone() or TakeExpired() will name it.
+    kPending,       ///< TakeCompleted() or TakeExpired() will name it.
     kRefused,       ///< Only the leader may answer it, or too many wait.
   };
 
   explicit HeartbeatRelayer(const traffic::TrafficState& state) : state_(state) {}
 
   /// @param leader_known whether this process knows a leader, or did so lately.
-  Taken Take(std::uint64_t request, const ReportInstance& heartbeat, bool leader_known,
-             Instant now);
+  Disposition Take(std::uint64_t request, const ReportInstance& heartbeat, bool leader_known,
+                   Instant now);
 
   /// Requests that may be answered, for a process that knows a leader.
-  struct Done {
+  struct Completed {
     std::vector<std::uint64_t> acknowledged;  ///< What they told stands in the committed state.
     std::vector<std::uint64_t> refused;       ///< The leader must answer them itself.
   };
-  Done TakeDone(Instant now);
+  Completed TakeCompleted(Instant now);
   /// Requests that have waited too long.
   std::vector<std::uint64_t> TakeExpired(Instant now);
   struct Waiting {
@@ -63,15 +63,16 @@
   Instant NextDue(bool leader_known) const;
 
  private:
-  void NoteHeard(const traffic::InstanceId& instance, Instant now);
+  void QueueUnchanged(const traffic::InstanceId& instance, Instant now);
 
   const traffic::TrafficState& state_;
-  std::set<std::string> heard_;  ///< Instances that told nothing new since the last batch.
-  Instant heard_due_ = Instant::max();
+  std::set<std::string>
+      unchanged_instances_;  ///< Instances that told nothing new since the last batch.
+  Instant unchanged_due_ = Instant::max();
   std::vector<Waiting> waiting_;  ///< In the order of their `until`.
   Instant reports_due_ = Instant::max();
-  std::uint64_t looked_version_ = 0;  ///< Of the state that waiting reports were held against.
-  bool unlooked_ = false;             ///< Some came since that need not change the state.
+  std::uint64_t checked_version_ = 0;  ///< Of the state that waiting reports were held against.
+  bool has_unchecked_ = false;         ///< Some came since that need not change the state.
 };
 
 }  // namespace graniteseam::control
--- a/src/control/hint_publisher.cc
+++ b/src/control/hint_publisher.cc
@@ -8,14 +8,14 @@
 namespace {
 
 /// Between two looks: a window of the balancer, which finds the hot keys.
-constexpr Duration kLookInterval{250'000};
+constexpr Duration kEvaluationInterval{250'000};
 /// Routers forget a hot key of which they hear nothing for longer.
 constexpr Duration kHotKeyRefresh{1'000'000};
 /// By which the admitted part must change to be told before that.
 constexpr double kAdmittedChange = 0.25;
 
-bool IsAmong(const std::vector<traffic::HotKey>& hot, const ServiceName& service,
-             std::uint32_t key) {
+bool ContainsKey(const std::vector<traffic::HotKey>& hot, const ServiceName& service,
+                 std::uint32_t key) {
   return std::any_of(hot.begin(), hot.end(), [&](const traffic::HotKey& one) {
     return one.service == service && one.key == key;
   });
@@ -26,11 +26,11 @@
 void HintPublisher::TakePoll(const traffic::TrafficPoll& poll, Instant now) {
   for (const traffic::InstanceSpeed& speed : poll.speeds) {
     // An owner of keys is the only one for them: routers have nothing to choose.
-    if (IsOfPool(speed.instance)) outlook_.Take(poll.router, speed, now);
+    if (IsPoolInstance(speed.instance)) health_.Take(poll.router, speed, now);
   }
 }
 
-bool HintPublisher::IsOfPool(const traffic::InstanceId& id) const {
+bool HintPublisher::IsPoolInstance(const traffic::InstanceId& id) const {
   const traffic::Instance* const instance = state_.instances().Find(id);
   if (instance == nullptr) return false;
   const traffic::Service* const service =
@@ -38,16 +38,16 @@
   return service != nullptr && !service->keyed;
 }
 
-std::optional<traffic::TrafficHints> HintPublisher::Look(
+std::optional<traffic::TrafficHints> HintPublisher::Evaluate(
     const std::vector<traffic::HotKey>& hot, Instant now,
     std::vector<traffic::InstanceLimit> limits) {
-  look_due_ = now + kLookInterval;
+  evaluation_due_ = now + kEvaluationInterval;
   traffic::TrafficHints hints;
   hints.limits = std::move(limits);
-  hints.instances = outlook_.TakeChanges(now);
-  outlook_.ForgetOld(now);
-  for (const traffic::HotKey& one : hot) TellHot(one, hints.hot_keys, now);
-  TellOver(hot, hints.hot_keys);
+  hints.instances = health_.TakeChanges(now);
+  health_.RemoveExpired(now);
+  for (const traffic::HotKey& one : hot) AddHotKeyHint(one, hints.hot_keys, now);
+  AddEndedHotKeyHints(hot, hints.hot_keys);
   const bool nothing = hints.instances.empty() && hints.hot_keys.empty() && hints.limits.empty();
   if (nothing) return std::nullopt;
   return hints;
@@ -55,27 +55,29 @@
 
 traffic::TrafficHints HintPublisher::All(Instant now) const {
   traffic::TrafficHints hints;
-  hints.instances = outlook_.All(now);
+  hints.instances = health_.All(now);
   for (const auto& [service, keys] : hot_keys_) {
-    for (const auto& [key, told] : keys) hints.hot_keys.push_back({service, key, told.admitted});
+    for (const auto& [key, published] : keys)
+      hints.hot_keys.push_back({service, key, published.admitted});
   }
   return hints;
 }
 
-void HintPublisher::TellHot(const traffic::HotKey& hot, std::vector<traffic::HotKey>& hints,
-                            Instant now) {
-  Told& told = hot_keys_[hot.service][hot.key];
-  const bool changed = std::abs(hot.admitted - told.admitted) > kAdmittedChange * told.admitted;
-  if (!changed && now - told.at < kHotKeyRefresh) return;
-  told = {hot.admitted, now};
+void HintPublisher::AddHotKeyHint(const traffic::HotKey& hot, std::vector<traffic::HotKey>& hints,
+                                  Instant now) {
+  PublishedHint& published = hot_keys_[hot.service][hot.key];
+  const bool changed =
+      std::abs(hot.admitted - published.admitted) > kAdmittedChange * published.admitted;
+  if (!changed && now - published.at < kHotKeyRefresh) return;
+  published = {hot.admitted, now};
   hints.push_back(hot);
 }
 
-void HintPublisher::TellOver(const std::vector<traffic::HotKey>& hot,
-                             std::vector<traffic::HotKey>& hints) {
+void HintPublisher::AddEndedHotKeyHints(const std::vector<traffic::HotKey>& hot,
+                                        std::vector<traffic::HotKey>& hints) {
   for (auto& [service, keys] : hot_keys_) {
     std::erase_if(keys, [&, &of = service](const auto& entry) {
-      const bool over = !IsAmong(hot, of, entry.first);
+      const bool over = !ContainsKey(hot, of, entry.first);
       if (over) hints.push_back({of, entry.first, 1});
       return over;
     });
--- a/src/control/hint_publisher.h
+++ b/src/control/hint_publisher.h
@@ -19,30 +19,32 @@
   void TakePoll(const traffic::TrafficPoll& poll, Instant now);
 
   /// Whether it is time to look for what is to be told.
-  bool IsDue(Instant now) const { return now >= look_due_; }
+  bool IsDue(Instant now) const { return now >= evaluation_due_; }
   /// What all routers should be told now.
   /// @param hot keys that are hot at present.
   /// @param limits of instances, those that changed.
-  std::optional<traffic::TrafficHints> Look(const std::vector<traffic::HotKey>& hot, Instant now,
-                                            std::vector<traffic::InstanceLimit> limits = {});
+  std::optional<traffic::TrafficHints> Evaluate(const std::vector<traffic::HotKey>& hot,
+                                                Instant now,
+                                                std::vector<traffic::InstanceLimit> limits = {});
   /// What a router should be told that was told nothing yet.
   traffic::TrafficHints All(Instant now) const;
 
  private:
-  struct Told {
+  struct PublishedHint {
     double admitted = 1;
     Instant at{};
   };
 
-  bool IsOfPool(const traffic::InstanceId& id) const;
-  void TellHot(const traffic::HotKey& hot, std::vector<traffic::HotKey>& hints, Instant now);
+  bool IsPoolInstance(const traffic::InstanceId& id) const;
+  void AddHotKeyHint(const traffic::HotKey& hot, std::vector<traffic::HotKey>& hints, Instant now);
   /// Ends what was told of keys that are not hot any more.
-  void TellOver(const std::vector<traffic::HotKey>& hot, std::vector<traffic::HotKey>& hints);
+  void AddEndedHotKeyHints(const std::vector<traffic::HotKey>& hot,
+                           std::vector<traffic::HotKey>& hints);
 
   const traffic::TrafficState& state_;
-  InstanceHealthTracker outlook_;
-  std::map<ServiceName, std::map<std::uint32_t, Told>> hot_keys_;
-  Instant look_due_{};
+  InstanceHealthTracker health_;
+  std::map<ServiceName, std::map<std::uint32_t, PublishedHint>> hot_keys_;
+  Instant evaluation_due_{};
 };
 
 }  // namespace graniteseam::control
--- a/src/control/instance_health_tracker.h
+++ b/src/control/instance_health_tracker.h
@@ -21,34 +21,35 @@
   /// All that stands, for a router that was told nothing yet.
   std::vector<traffic::InstanceHint> All(Instant now) const;
   /// Forgets instances of which nobody told for long.
-  void ForgetOld(Instant now);
+  void RemoveExpired(Instant now);
 
  private:
   /// A sum in which older events count less and less.
-  struct FadingSum {
+  struct DecayingSum {
     double value = 0;
     Instant at{};
-    void Add(double amount, Duration memory, Instant now);
-    double At(Duration memory, Instant now) const;
+    void Add(double amount, Duration time_constant, Instant now);
+    double At(Duration time_constant, Instant now) const;
   };
-  struct Seen {
-    FadingSum answers;   ///< Whole ones.
-    FadingSum failures;  ///< Answers that tell of a failure, and attempts that got none.
-    RouterId failed_at;  ///< A router that told of failures, and whether another one did too.
-    bool failed_at_several = false;
+  struct Observations {
+    DecayingSum answers;   ///< Whole ones.
+    DecayingSum failures;  ///< Answers that tell of a failure, and attempts that got none.
+    RouterId
+        failure_reporter;  ///< A router that told of failures, and whether another one did too.
+    bool several_failure_reporters = false;
     double latency_us = 0;
     double latency_weight = 0;  ///< Answers that the mean stands on.
-    Instant heard{};
-    std::uint32_t told_latency_us = 0;
-    Instant latency_told_at{};
-    std::uint32_t told_failing_percent = 0;
-    Instant told_at{};
+    Instant reported_at{};
+    std::uint32_t published_latency_us = 0;
+    Instant latency_published_at{};
+    std::uint32_t published_failing_percent = 0;
+    Instant failing_published_at{};
   };
 
-  static std::uint32_t FailingPercent(const Seen& seen, Instant now);
-  static std::uint32_t LatencyOf(const Seen& seen);
+  static std::uint32_t FailingPercent(const Observations& observed, Instant now);
+  static std::uint32_t LatencyOf(const Observations& observed);
 
-  std::map<traffic::InstanceId, Seen> seen_;
+  std::map<traffic::InstanceId, Observations> observations_;
 };
 
 }  // namespace graniteseam::control
--- a/src/control/instance_limits.h
+++ b/src/control/instance_limits.h
@@ -22,12 +22,12 @@
 /// safe; `now` never goes back.
 class InstanceLimits {
  public:
-  void Take(const traffic::InstanceLimit& word, Instant now);
+  void Take(const traffic::InstanceLimit& state, Instant now);
   traffic::LimitTokenGrant TakeTokens(const traffic::LimitTokenRequest& request, Instant now);
 
-  void Take(const traffic::InstanceRest& rest, Instant now);
+  void Take(const traffic::InstanceRest& backoff, Instant now);
   /// Whether an instance lately asked for so long a rest that it had better own nothing.
-  bool Rests(const traffic::InstanceId& instance, Instant now) const;
+  bool IsBackingOff(const traffic::InstanceId& instance, Instant now) const;
 
   /// Requests a second; nullopt for an instance that names no limit.
   std::optional<double> LimitOf(const traffic::InstanceId& instance) const;
@@ -38,27 +38,27 @@
   std::vector<traffic::InstanceLimit> All(Instant now) const;
 
  private:
-  struct Word {
+  struct LimitState {
     double limit = 0;  ///< Requests a second; 0 for none.
-    Instant heard{};
-    Instant used{};   ///< Told or asked about by any router.
-    double told = 0;  ///< As told to all routers.
+    Instant observed_at{};
+    Instant last_used{};   ///< Told or asked about by any router.
+    double published = 0;  ///< As told to all routers.
     double tokens = 0;
-    Instant filled{};
+    Instant refilled_at{};
   };
 
   /// An instance that asks again soon after it got keys back is left without for longer each time.
-  struct Rest {
+  struct Backoff {
     Instant avoid_until{};
     Duration pause{};  ///< Added to the rest.
   };
 
-  static void Fill(Word& word, Instant now);
-  static traffic::InstanceLimit ToMessage(const traffic::InstanceId& instance, const Word& word,
-                                          Instant now);
+  static void RefillTokens(LimitState& state, Instant now);
+  static traffic::InstanceLimit ToMessage(const traffic::InstanceId& instance,
+                                          const LimitState& state, Instant now);
 
-  std::map<traffic::InstanceId, Word> words_;
-  std::map<traffic::InstanceId, Rest> rests_;
+  std::map<traffic::InstanceId, LimitState> limits_;
+  std::map<traffic::InstanceId, Backoff> backoffs_;
 };
 
 }  // namespace graniteseam::control
--- a/src/control/instance_liveness.h
+++ b/src/control/instance_liveness.h
@@ -18,13 +18,13 @@
   /// @param now the start of a leadership: all instances count as heard then.
   InstanceLiveness(Duration silence, Instant now) : silence_(silence), start_(now) {}
 
-  void Heard(const traffic::InstanceId& id, Instant now) {
+  void RecordHeartbeat(const traffic::InstanceId& id, Instant now) {
     HeardTimes& times = heard_.try_emplace(id, HeardTimes{now, {}, now}).first->second;
-    if (now - times.last >= kRepetition) times.previous = times.last;
+    if (now - times.last >= kDuplicateWithin) times.previous = times.last;
     times.last = now;
   }
 
-  bool Silent(const traffic::InstanceId& id, Instant now) const {
+  bool IsUnreachable(const traffic::InstanceId& id, Instant now) const {
     return now - LastHeard(id).value_or(start_) > silence_;
   }
 
@@ -51,7 +51,7 @@
 
  private:
   /// A heartbeat that comes so soon after another one may be the same, sent again.
-  static constexpr Duration kRepetition{500'000};
+  static constexpr Duration kDuplicateWithin{500'000};
 
   /// When the heartbeats of an instance arrived.
   struct HeardTimes {
--- a/src/control/instance_speeds.h
+++ b/src/control/instance_speeds.h
@@ -35,13 +35,13 @@
   }
 
   /// Whether an instance lately failed most requests, so that it had better own nothing.
-  bool Failing(const traffic::InstanceId& id, Instant now) const {
+  bool IsFailing(const traffic::InstanceId& id, Instant now) const {
     const auto found = outcomes_.find(id);
     return found != outcomes_.end() && now < found->second.avoid_until;
   }
 
   /// Scales the candidates' slots by their speed, relative to the mean of those that are known.
-  void Scale(std::vector<RangeCandidate>& candidates) const {
+  void ScaleSlots(std::vector<RangeCandidate>& candidates) const {
     double sum = 0;
     double known = 0;
     for (const RangeCandidate& candidate : candidates) {
@@ -54,21 +54,22 @@
     for (RangeCandidate& candidate : candidates) {
       const auto found = mean_us_.find(candidate.id);
       if (found == mean_us_.end()) continue;
-      candidate.slots *= std::clamp(sum / known / found->second, kSlowest, kFastest);
+      candidate.slots *=
+          std::clamp(sum / known / found->second, kSlotFactorMinimum, kSlotFactorMaximum);
     }
   }
 
  private:
   static constexpr double kAnswerWeight = 0.04;
-  static constexpr double kSlowest = 0.2;
-  static constexpr double kFastest = 3.0;
+  static constexpr double kSlotFactorMinimum = 0.2;
+  static constexpr double kSlotFactorMaximum = 3.0;
 
   /// A sound instance fails one in a thousand; so many failures among so few answers are no chance.
   static constexpr double kFailuresMinimum = 4;
   static constexpr double kFailingPart = 0.5;
   /// In which what is known of outcomes fades, and for how long a failing instance is avoided: by
   /// then it has started again, or its fault is found out once more at the price of some requests.
-  static constexpr Duration kMemory{2'000'000};
+  static constexpr Duration kOutcomeTimeConstant{2'000'000};
   static constexpr Duration kAvoidance{10'000'000};
 
   struct Outcomes {
@@ -81,7 +82,7 @@
   void TakeFailures(const traffic::InstanceSpeed& speed, Instant now) {
     if (speed.failures == 0 && !outcomes_.contains(speed.instance)) return;
     Outcomes& known = outcomes_[speed.instance];
-    const double age = std::chrono::duration<double>(now - known.at) / kMemory;
+    const double age = std::chrono::duration<double>(now - known.at) / kOutcomeTimeConstant;
     const double fading = std::exp(-age);
     known.answers = known.answers * fading + speed.whole;
     known.failures = known.failures * fading + speed.failures;
--- a/src/control/load_balancer.cc
+++ b/src/control/load_balancer.cc
@@ -117,15 +117,15 @@
     ServersByCount& servers, const ServerId& target, double mean,
     const std::vector<placement::PlannedMove>& taken) const {
   while (!servers.empty()) {
-    auto giver = servers.extract(std::prev(servers.end()));
-    auto& [count, id] = giver.value();
+    auto donor = servers.extract(std::prev(servers.end()));
+    auto& [count, id] = donor.value();
     if (static_cast<double>(count) <= mean - 1 || id == target) return std::nullopt;
     for (const auto& owned : state_.shards().OwnedBy(id)) {
       const bool is_taken = std::any_of(
           taken.begin(), taken.end(), [&](const auto& move) { return move.shard == owned.shard; });
       if (owned.state != OwnershipState::kAssigned || is_taken) continue;
       --count;
-      servers.insert(std::move(giver));
+      servers.insert(std::move(donor));
       return placement::PlannedMove{owned.shard, owned.epoch, target};
     }
     // One without a free shard is not asked again in this round.
--- a/src/control/membership_keeper.cc
+++ b/src/control/membership_repair.cc
@@ -1,4 +1,4 @@
-#include "src/control/membership_keeper.h"
+#include "src/control/membership_repair.h"
 
 #include <algorithm>
 
@@ -9,7 +9,7 @@
 using consensus::Membership;
 
 /// A member that answered within this is there.
-constexpr Duration kPresent{1'000'000};
+constexpr Duration kReachableWithin{1'000'000};
 constexpr std::size_t kLearnersMaximum = 8;
 
 const consensus::PeerStatus* StatusOf(const MembershipView& view, const Member& member) {
@@ -19,16 +19,16 @@
   return found == view.others.end() ? nullptr : &*found;
 }
 
-bool Present(const MembershipView& view, const Member& member) {
+bool IsReachable(const MembershipView& view, const Member& member) {
   if (member.SameVoteAs(view.self)) return true;
   const consensus::PeerStatus* status = StatusOf(view, member);
-  return status != nullptr && status->silence <= kPresent;
+  return status != nullptr && status->silence <= kReachableWithin;
 }
 
 /// Whether a learner is there and holds the log.
-bool Ready(const MembershipView& view, const Member& learner) {
+bool IsReadyToVote(const MembershipView& view, const Member& learner) {
   const consensus::PeerStatus* status = StatusOf(view, learner);
-  return status != nullptr && status->caught_up && Present(view, learner);
+  return status != nullptr && status->caught_up && IsReachable(view, learner);
 }
 
 void Erase(std::vector<Member>& members, const Member& gone) {
@@ -56,19 +56,19 @@
   return membership;
 }
 
-std::size_t PresentVoters(const MembershipView& view) {
+std::size_t ReachableVoterCount(const MembershipView& view) {
   const auto& voters = view.membership.voters;
   return static_cast<std::size_t>(std::count_if(
-      voters.begin(), voters.end(), [&](const Member& voter) { return Present(view, voter); }));
+      voters.begin(), voters.end(), [&](const Member& voter) { return IsReachable(view, voter); }));
 }
 
 /// A voter that is over: another one of its id votes with a newer disk, or it is one too many and
 /// silent.
-const Member* SurplusVoter(const MembershipKeeperOptions& options, const MembershipView& view) {
+const Member* SurplusVoter(const MembershipRepairOptions& options, const MembershipView& view) {
   const auto& voters = view.membership.voters;
-  if (voters.size() <= options.voters || PresentVoters(view) < options.voters) return nullptr;
+  if (voters.size() <= options.voters || ReachableVoterCount(view) < options.voters) return nullptr;
   const auto silent = std::find_if(voters.begin(), voters.end(),
-                                   [&](const Member& voter) { return !Present(view, voter); });
+                                   [&](const Member& voter) { return !IsReachable(view, voter); });
   return silent == voters.end() ? nullptr : &*silent;
 }
 
@@ -76,13 +76,13 @@
 /// answers again, so that without it a quorum needs no more of the others than with it. While both
 /// voted, the loss of the new disk would be the second of one machine: four votes of which two are
 /// gone for good never decide anything again.
-const Member* FormerSelf(const MembershipView& view) {
+const Member* VoterWithReplacedDisk(const MembershipView& view) {
   const auto& voters = view.membership.voters;
   const auto back = [&](const Member& voter) {
     const auto& learners = view.membership.learners;
-    return !Present(view, voter) &&
+    return !IsReachable(view, voter) &&
            std::any_of(learners.begin(), learners.end(), [&](const Member& learner) {
-             return learner.id == voter.id && Ready(view, learner);
+             return learner.id == voter.id && IsReadyToVote(view, learner);
            });
   };
   const auto former = std::find_if(voters.begin(), voters.end(), back);
@@ -90,9 +90,9 @@
 }
 
 /// Whether a voter's place is to be taken: its disk came back empty, or it is silent for long.
-bool NeedsReplacement(const MembershipKeeperOptions& options, const MembershipView& view,
+bool NeedsReplacement(const MembershipRepairOptions& options, const MembershipView& view,
                       const Member& voter) {
-  if (Present(view, voter)) return false;
+  if (IsReachable(view, voter)) return false;
   const auto& learners = view.membership.learners;
   const bool disk_lost = std::any_of(learners.begin(), learners.end(),
                                      [&](const Member& one) { return one.id == voter.id; });
@@ -103,12 +103,13 @@
 /// A learner that may vote.
 const Member* ReadyLearner(const MembershipView& view) {
   const auto& learners = view.membership.learners;
-  const auto ready = std::find_if(learners.begin(), learners.end(),
-                                  [&](const Member& learner) { return Ready(view, learner); });
+  const auto ready = std::find_if(learners.begin(), learners.end(), [&](const Member& learner) {
+    return IsReadyToVote(view, learner);
+  });
   return ready == learners.end() ? nullptr : &*ready;
 }
 
-std::optional<Membership> Promotion(const MembershipKeeperOptions& options,
+std::optional<Membership> Promotion(const MembershipRepairOptions& options,
                                     const MembershipView& view) {
   const Member* learner = ReadyLearner(view);
   if (learner == nullptr) return std::nullopt;
@@ -137,13 +138,14 @@
 
 }  // namespace
 
-std::optional<Membership> NextMembership(const MembershipKeeperOptions& options,
+std::optional<Membership> NextMembership(const MembershipRepairOptions& options,
                                          const MembershipView& view) {
   if (!options.enabled) return std::nullopt;
   if (const Member* surplus = SurplusVoter(options, view)) {
     return WithoutVoter(view.membership, *surplus);
   }
-  if (const Member* former = FormerSelf(view)) return WithoutVoter(view.membership, *former);
+  if (const Member* former = VoterWithReplacedDisk(view))
+    return WithoutVoter(view.membership, *former);
   if (auto promoted = Promotion(options, view)) return promoted;
   if (auto admitted = Admission(view)) return admitted;
   for (const Member& learner : view.membership.learners) {
--- a/src/control/membership_keeper.h
+++ b/src/control/membership_repair.h
@@ -26,7 +26,7 @@
 /// never answers again, so that repair never lowers what the group can lose. A disk that came back
 /// empty is another member: it votes only after it has caught up. Answers the failures: lost disk,
 /// lost machine, machine replaced at another address. Pure function of its inputs.
-std::optional<consensus::Membership> NextMembership(const MembershipKeeperOptions& options,
+std::optional<consensus::Membership> NextMembership(const MembershipRepairOptions& options,
                                                     const MembershipView& view);
 
 }  // namespace graniteseam::control
--- a/src/control/range_controller.cc
+++ b/src/control/range_controller.cc
@@ -28,7 +28,7 @@
 constexpr std::size_t kOrdersAtOnce = 16;
 constexpr Duration kOrdersPause{12'000};
 /// How long the sequence of an instance that is gone is kept: longer than a heartbeat may be late.
-constexpr Duration kHolderKept = 6 * kHeartbeatLateMaximum;
+constexpr Duration kHolderKept = 6 * kHeartbeatDelayMaximum;
 /// Part of an owner's capacity up to which a hot key's requests are let in: somewhat more than all
 /// of it, so that it stays full though they come unevenly.
 constexpr double kFilled = 1.1;
@@ -281,7 +281,7 @@
   const auto replaced = replaced_.find(instance);
   if (replaced == replaced_.end()) return HasProvablyEnded(state_.instances(), liveness_, instance);
   // Whoever is heard of for so long after that answer lives: the answer was wrong.
-  return !liveness_.HeardSince(instance, replaced->second + kHeartbeatLateMaximum);
+  return !liveness_.HeardSince(instance, replaced->second + kHeartbeatDelayMaximum);
 }
 
 std::vector<CommandBody> RangeController::Decide(Instant now) {
@@ -338,7 +338,7 @@
   const bool by_heartbeat = LeasedByHeartbeat(service);
   for (const auto& [id, instance] : state_.instances().instances()) {
     const bool fits = instance.report.service == service && instance.TakesNewWork();
-    if (!fits || liveness_.Silent(id, now) || Unresponsive(id, now)) continue;
+    if (!fits || liveness_.IsUnreachable(id, now) || Unresponsive(id, now)) continue;
     if (avoided.contains(id) || HasEnded(id)) continue;
     if (by_heartbeat && !HeardLately(id, now)) continue;
     const double slots = static_cast<double>(std::max<std::int64_t>(1, instance.report.slots));
@@ -353,7 +353,7 @@
     candidate.heartbeat_interval = holder.interval;
   }
   if (candidates.empty()) candidates = std::move(warming_up);
-  speeds_.Scale(candidates);
+  speeds_.ScaleSlots(candidates);
   BoundByLimits(service, candidates);
   return candidates;
 }
@@ -391,7 +391,7 @@
   if (failing == failing_since_.end()) return false;
   // One heartbeat since then may have been sent before the instance ended.
   const bool still_heard =
-      liveness_.HeardSince(instance, failing->second) && !liveness_.Silent(instance, now);
+      liveness_.HeardSince(instance, failing->second) && !liveness_.IsUnreachable(instance, now);
   return now - failing->second > options_.unresponsive_after && !still_heard;
 }
 
--- a/src/control/range_releases.cc
+++ b/src/control/range_releases.cc
@@ -58,8 +58,8 @@
   for (const auto& [id, instance] : state_.instances().instances()) {
     if (instance.report.service != service || !instance.TakesNewWork()) continue;
     ++all;
-    if (speeds_.Failing(id, now)) failing.insert(id);
-    if (limits_.Rests(id, now)) resting.insert(id);
+    if (speeds_.IsFailing(id, now)) failing.insert(id);
+    if (limits_.IsBackingOff(id, now)) resting.insert(id);
   }
   const auto many = [all](const std::set<traffic::InstanceId>& some, double part) {
     return static_cast<double>(some.size()) > part * static_cast<double>(all);
@@ -87,9 +87,9 @@
       }
       command.releases.push_back({service, range.span, range.fence, {}});
       Note("begin_release", range, range.span,
-           must_go                           ? "the owner leaves"
-           : limits_.Rests(range.owner, now) ? "the owner asked for rest"
-                                             : "the owner fails requests");
+           must_go                                  ? "the owner leaves"
+           : limits_.IsBackingOff(range.owner, now) ? "the owner asked for rest"
+                                                    : "the owner fails requests");
     }
     const bool by_heartbeat = LeasedByHeartbeat(service);
     // Their release would not be known of before then, and the keys would rest for as long: their
--- a/src/control/suspect_detector.cc
+++ b/src/control/suspect_detector.cc
@@ -7,26 +7,26 @@
 namespace graniteseam::control {
 namespace {
 
-constexpr Duration kLookInterval{250'000};
+constexpr Duration kDecisionInterval{250'000};
 /// A heartbeat that arrives within this after a loss may have been sent before it: it is on its way
 /// for milliseconds, or for a follower's batch longer.
-constexpr Duration kHeartbeatOnItsWay{300'000};
+constexpr Duration kHeartbeatTransitMaximum{300'000};
 /// An instance that lives is heard of within this after a loss or another heartbeat: an interval of
 /// heartbeats (1.5 s on the deployments so far, drawn up to 1.7 s), the time above, and some more.
-constexpr Duration kEndIsCertainAfter{2'500'000};
+constexpr Duration kTerminationCertainAfter{2'500'000};
 /// Routers hear of a suspect and tell of its answers with their next poll, 0.5 s at most.
-constexpr Duration kAnswersToldWithin{1'000'000};
+constexpr Duration kAnswersReportedWithin{1'000'000};
 /// By then routers have found a new leader, and have told it twice or more of their answers.
-constexpr Duration kRoutersFoundLeader{2'000'000};
+constexpr Duration kLeaderDiscoveryTime{2'000'000};
 /// How long a loss is remembered here and told by routers. A caller that is not served comes back
 /// within seconds; one that waits longer than this must end two more servers.
-constexpr Duration kLossKept{60'000'000};
+constexpr Duration kLossRetention{60'000'000};
 /// Requests under way at instances that end together are a few a slot.
 constexpr std::size_t kRequestsMaximum = 4'096;
 constexpr std::size_t kLossesOfOneMaximum = 8;
 /// Instances from which on a request is recorded: one may be chance, and each recording is a
 /// message to all routers.
-constexpr std::size_t kEndedToRecord = 2;
+constexpr std::size_t kTerminationsToRecord = 2;
 
 }  // namespace
 
@@ -43,13 +43,13 @@
   if (planned) return;
   const Loss loss{lost.instance, now - std::chrono::milliseconds(lost.sent_ms_ago),
                   now - std::chrono::milliseconds(lost.lost_ms_ago)};
-  if (now - loss.lost_at > kLossKept) return;
-  if (tallies_.size() >= kRequestsMaximum && !tallies_.contains(lost.digest)) return;
-  Tally& tally = tallies_[lost.digest];
-  std::vector<Loss>& losses = tally.losses;
+  if (now - loss.lost_at > kLossRetention) return;
+  if (histories_.size() >= kRequestsMaximum && !histories_.contains(lost.digest)) return;
+  RequestHistory& history = histories_[lost.digest];
+  std::vector<Loss>& losses = history.losses;
   const bool known = std::any_of(losses.begin(), losses.end(),
                                  [&](const Loss& one) { return one.instance == loss.instance; });
-  const bool counts = !known && loss.lost_at > tally.answered_at;
+  const bool counts = !known && loss.lost_at > history.answered_at;
   if (!counts || (losses.size() >= kLossesOfOneMaximum && !MakeRoom(losses, now))) return;
   const auto later = std::find_if(losses.begin(), losses.end(),
                                   [&](const Loss& one) { return one.lost_at > loss.lost_at; });
@@ -57,60 +57,61 @@
 }
 
 bool SuspectDetector::MakeRoom(std::vector<Loss>& losses, Instant now) const {
-  Instant last_end{};
+  Instant last_termination{};
   for (auto it = losses.begin(); it != losses.end(); ++it) {
-    const bool follows = it->sent_at >= last_end;
+    const bool follows = it->sent_at >= last_termination;
     if (!follows || FateOf(*it, now) == Fate::kSurvived) {
       losses.erase(it);
       return true;
     }
-    last_end = it->lost_at;
+    last_termination = it->lost_at;
   }
   return false;
 }
 
 void SuspectDetector::TakeAnswer(const traffic::AnsweredRequest& answered, Instant now) {
   const Instant at = now - std::chrono::milliseconds(answered.answered_ms_ago);
-  const auto found = tallies_.find(answered.digest);
-  const bool has_losses = found != tallies_.end() && !found->second.losses.empty();
+  const auto found = histories_.find(answered.digest);
+  const bool has_losses = found != histories_.end() && !found->second.losses.empty();
   // What was answered before it ended its first instance may have changed since.
   const Instant first = has_losses ? found->second.losses.front().lost_at : start_;
-  Tally& tally = tallies_[answered.digest];
+  RequestHistory& history = histories_[answered.digest];
   if (at <= first) {
-    tally.answered_before = true;
+    history.answered_before = true;
     return;
   }
-  tally.answered_at = std::max(tally.answered_at, at);
-  std::erase_if(tally.losses, [&](const Loss& loss) { return loss.lost_at <= tally.answered_at; });
+  history.answered_at = std::max(history.answered_at, at);
+  std::erase_if(history.losses,
+                [&](const Loss& loss) { return loss.lost_at <= history.answered_at; });
 }
 
 SuspectDetector::Fate SuspectDetector::FateOf(const Loss& loss, Instant now) const {
-  const Instant since = loss.lost_at + kHeartbeatOnItsWay;
+  const Instant since = loss.lost_at + kHeartbeatTransitMaximum;
   if (liveness_.HeardTwiceSince(loss.instance, since)) return Fate::kSurvived;
   // A new leader has heard of nobody before its start.
   Instant from = std::max(loss.lost_at, start_);
   if (liveness_.HeardSince(loss.instance, since)) from = *liveness_.LastHeard(loss.instance);
-  return now - from >= kEndIsCertainAfter ? Fate::kEnded : Fate::kOpen;
+  return now - from >= kTerminationCertainAfter ? Fate::kEnded : Fate::kUndecided;
 }
 
-SuspectDetector::Ends SuspectDetector::EndsUnder(const traffic::SuspectRequest* recorded,
-                                                 const Tally& tally, const Instances& blamed,
-                                                 Instant now) const {
-  Ends ends;
-  std::vector<traffic::InstanceId>& instances = ends.instances;
+SuspectDetector::Terminations SuspectDetector::TerminationsUnder(
+    const traffic::SuspectRequest* recorded, const RequestHistory& history, const Instances& blamed,
+    Instant now) const {
+  Terminations terminations;
+  std::vector<traffic::InstanceId>& instances = terminations.instances;
   // When those recorded by an earlier leadership ended is not known: any answer may be newer. What
   // is refused already is not answered any more.
-  const bool was_answered = tally.answered_at != Instant{} ||
-                            (tally.answered_before && recorded && !recorded->Quarantined());
+  const bool was_answered = history.answered_at != Instant{} ||
+                            (history.answered_before && recorded && !recorded->Quarantined());
   if (recorded != nullptr && !was_answered) instances = recorded->ended;
   // What was answered until another request came that never was: the other one is the cause.
-  const auto explained = [&](const traffic::InstanceId& instance) {
-    return tally.answered_before && blamed.contains(instance);
+  const auto attributed_elsewhere = [&](const traffic::InstanceId& instance) {
+    return history.answered_before && blamed.contains(instance);
   };
-  std::erase_if(instances, explained);
-  Instant last_end{};
-  for (const Loss& loss : tally.losses) {
-    if (explained(loss.instance)) continue;
+  std::erase_if(instances, attributed_elsewhere);
+  Instant last_termination{};
+  for (const Loss& loss : history.losses) {
+    if (attributed_elsewhere(loss.instance)) continue;
     const Fate fate = FateOf(loss, now);
     const auto counted = std::find(instances.begin(), instances.end(), loss.instance);
     if (fate == Fate::kSurvived) {
@@ -119,58 +120,60 @@
     }
     const bool is_new = counted == instances.end();
     // Sent before the last one ended: both ends may have one cause, which is not this request.
-    if (is_new && loss.sent_at < last_end) continue;
-    last_end = loss.lost_at;
+    if (is_new && loss.sent_at < last_termination) continue;
+    last_termination = loss.lost_at;
     // Those beyond the number that is wanted tell nothing more, and may be open for long.
     if (is_new && instances.size() >= traffic::kEndedToQuarantine) continue;
     if (is_new) instances.push_back(loss.instance);
-    if (fate == Fate::kOpen) ++ends.open;
+    if (fate == Fate::kUndecided) ++terminations.undecided;
   }
-  return ends;
+  return terminations;
 }
 
 void SuspectDetector::Decide(std::vector<CommandBody>& commands, Instant now) {
-  if (now < look_due_) return;
-  look_due_ = now + kLookInterval;
-  ForgetOld(now);
-  FollowSuspects(now);
-  const Instances blamed = BlamedOnOthers(now);
-  for (const auto& [digest, tally] : tallies_) DecideOn(digest, tally, blamed, now);
+  if (now < decision_due_) return;
+  decision_due_ = now + kDecisionInterval;
+  RemoveExpired(now);
+  UpdateSuspects(now);
+  const Instances blamed = InstancesBlamedOnUnanswered(now);
+  for (const auto& [digest, history] : histories_) DecideOn(digest, history, blamed, now);
   if (!recorded_.empty()) {
     commands.emplace_back(RecordSuspectsCommand{std::exchange(recorded_, {})});
   }
   if (!cleared_.empty()) commands.emplace_back(ClearSuspectsCommand{std::exchange(cleared_, {})});
 }
 
-SuspectDetector::Instances SuspectDetector::BlamedOnOthers(Instant now) const {
+SuspectDetector::Instances SuspectDetector::InstancesBlamedOnUnanswered(Instant now) const {
   Instances blamed;
-  for (const auto& [digest, tally] : tallies_) {
-    if (tally.answered_before || tally.answered_at != Instant{}) continue;
-    const Ends ends = EndsUnder(state_.suspects().Find(digest), tally, {}, now);
-    if (ends.instances.size() < kEndedToRecord) continue;
-    blamed.insert(ends.instances.begin(), ends.instances.end());
+  for (const auto& [digest, history] : histories_) {
+    if (history.answered_before || history.answered_at != Instant{}) continue;
+    const Terminations terminations =
+        TerminationsUnder(state_.suspects().Find(digest), history, {}, now);
+    if (terminations.instances.size() < kTerminationsToRecord) continue;
+    blamed.insert(terminations.instances.begin(), terminations.instances.end());
   }
   return blamed;
 }
 
-void SuspectDetector::DecideOn(traffic::RequestDigest digest, const Tally& tally,
+void SuspectDetector::DecideOn(traffic::RequestDigest digest, const RequestHistory& history,
                                const Instances& blamed, Instant now) {
   const traffic::SuspectRequest* const recorded = state_.suspects().Find(digest);
-  Ends ends = EndsUnder(recorded, tally, blamed, now);
-  const bool is_suspect = ends.instances.size() >= kEndedToRecord;
+  Terminations terminations = TerminationsUnder(recorded, history, blamed, now);
+  const bool is_suspect = terminations.instances.size() >= kTerminationsToRecord;
   if (!is_suspect) {
     if (recorded != nullptr) Clear(digest, "it was answered, or its servers live");
     return;
   }
-  const bool answers_told = recorded != nullptr && now - start_ >= kRoutersFoundLeader &&
-                            now - standing_.at(digest).recorded_since >= kAnswersToldWithin;
-  const bool certain = ends.open <= 1;
+  const bool answers_reported =
+      recorded != nullptr && now - start_ >= kLeaderDiscoveryTime &&
+      now - recorded_states_.at(digest).recorded_since >= kAnswersReportedWithin;
+  const bool certain = terminations.undecided <= 1;
   const bool quarantined = recorded != nullptr && recorded->Quarantined();
-  const bool may_quarantine = quarantined || (answers_told && certain);
-  const std::size_t told = may_quarantine ? traffic::kEndedToQuarantine : kEndedToRecord;
-  if (ends.instances.size() > told) ends.instances.resize(told);
-  if (recorded != nullptr && recorded->ended == ends.instances) return;
-  Record(digest, std::move(ends.instances));
+  const bool may_quarantine = quarantined || (answers_reported && certain);
+  const std::size_t told = may_quarantine ? traffic::kEndedToQuarantine : kTerminationsToRecord;
+  if (terminations.instances.size() > told) terminations.instances.resize(told);
+  if (recorded != nullptr && recorded->ended == terminations.instances) return;
+  Record(digest, std::move(terminations.instances));
 }
 
 void SuspectDetector::Record(traffic::RequestDigest digest,
@@ -187,30 +190,32 @@
   cleared_.push_back(digest);
 }
 
-void SuspectDetector::FollowSuspects(Instant now) {
-  std::erase_if(standing_,
+void SuspectDetector::UpdateSuspects(Instant now) {
+  std::erase_if(recorded_states_,
                 [&](const auto& entry) { return state_.suspects().Find(entry.first) == nullptr; });
   for (const auto& [digest, suspect] : state_.suspects().suspects()) {
-    Standing& standing = standing_.try_emplace(digest, Standing{0, now, now}).first->second;
-    if (standing.changed_at != suspect.changed_at) standing.changed_since = now;
-    standing.changed_at = suspect.changed_at;
-    if (now - standing.changed_since > traffic::kSuspectKept) Clear(digest, "it is long ago");
+    RecordedState& recorded_state =
+        recorded_states_.try_emplace(digest, RecordedState{0, now, now}).first->second;
+    if (recorded_state.changed_at != suspect.changed_at) recorded_state.changed_since = now;
+    recorded_state.changed_at = suspect.changed_at;
+    if (now - recorded_state.changed_since > traffic::kSuspectKept) Clear(digest, "it is long ago");
   }
 }
 
-void SuspectDetector::ForgetOld(Instant now) {
-  for (auto& [digest, tally] : tallies_) {
-    std::erase_if(tally.losses, [&](const Loss& loss) { return now - loss.lost_at > kLossKept; });
+void SuspectDetector::RemoveExpired(Instant now) {
+  for (auto& [digest, history] : histories_) {
+    std::erase_if(history.losses,
+                  [&](const Loss& loss) { return now - loss.lost_at > kLossRetention; });
   }
-  std::erase_if(tallies_, [&](const auto& entry) {
-    const Tally& tally = entry.second;
-    return tally.losses.empty() && now - tally.answered_at > kLossKept;
+  std::erase_if(histories_, [&](const auto& entry) {
+    const RequestHistory& history = entry.second;
+    return history.losses.empty() && now - history.answered_at > kLossRetention;
   });
 }
 
 Instant SuspectDetector::NextDue() const {
-  const bool idle = tallies_.empty() && state_.suspects().suspects().empty();
-  return idle ? Instant::max() : look_due_;
+  const bool idle = histories_.empty() && state_.suspects().suspects().empty();
+  return idle ? Instant::max() : decision_due_;
 }
 
 }  // namespace graniteseam::control
--- a/src/control/suspect_detector.h
+++ b/src/control/suspect_detector.h
@@ -53,24 +53,24 @@
     Instant lost_at{};
   };
   /// What is known of one request.
-  struct Tally {
+  struct RequestHistory {
     std::vector<Loss> losses;      ///< One an instance, in the order of their times.
     Instant answered_at{};         ///< Last, between losses; Instant{} for never.
     bool answered_before = false;  ///< Lately, before the first of the losses.
   };
   /// Since when a suspect is recorded, and recorded as it stands, as far as this leadership knows.
-  struct Standing {
+  struct RecordedState {
     std::uint64_t changed_at = 0;
     Instant recorded_since{};
     Instant changed_since{};
   };
   /// Instances that ended under one request, one after the other.
-  struct Ends {
+  struct Terminations {
     std::vector<traffic::InstanceId> instances;
-    std::size_t open = 0;  ///< Of those, the ones whose end is not certain yet.
+    std::size_t undecided = 0;  ///< Of those, the ones whose end is not certain yet.
   };
   using Instances = std::set<traffic::InstanceId>;
-  enum class Fate { kSurvived, kOpen, kEnded };
+  enum class Fate { kSurvived, kUndecided, kEnded };
 
   void TakeLoss(const traffic::LostAttempt& lost, Instant now);
   /// Forgets a loss that tells nothing: its instance lives, or the attempt was sent before the one
@@ -78,29 +78,30 @@
   /// @return false when each of them follows the one before it.
   bool MakeRoom(std::vector<Loss>& losses, Instant now) const;
   void TakeAnswer(const traffic::AnsweredRequest& answered, Instant now);
-  void ForgetOld(Instant now);
+  void RemoveExpired(Instant now);
   /// Whether an instance went down with an attempt that was lost at it.
   Fate FateOf(const Loss& loss, Instant now) const;
   /// @param blamed instances that ended under other requests which were never answered.
-  Ends EndsUnder(const traffic::SuspectRequest* recorded, const Tally& tally,
-                 const Instances& blamed, Instant now) const;
+  Terminations TerminationsUnder(const traffic::SuspectRequest* recorded,
+                                 const RequestHistory& history, const Instances& blamed,
+                                 Instant now) const;
   /// Instances that ended under suspects which were never answered.
-  Instances BlamedOnOthers(Instant now) const;
-  void DecideOn(traffic::RequestDigest digest, const Tally& tally, const Instances& blamed,
-                Instant now);
-  void FollowSuspects(Instant now);
+  Instances InstancesBlamedOnUnanswered(Instant now) const;
+  void DecideOn(traffic::RequestDigest digest, const RequestHistory& history,
+                const Instances& blamed, Instant now);
+  void UpdateSuspects(Instant now);
   void Record(traffic::RequestDigest digest, std::vector<traffic::InstanceId> ended);
   void Clear(traffic::RequestDigest digest, std::string_view why);
 
   const traffic::TrafficState& state_;
   const InstanceLiveness& liveness_;
   const Instant start_;
-  std::map<traffic::RequestDigest, Tally> tallies_;
-  std::map<traffic::RequestDigest, Standing> standing_;
+  std::map<traffic::RequestDigest, RequestHistory> histories_;
+  std::map<traffic::RequestDigest, RecordedState> recorded_states_;
   std::vector<traffic::SuspectRequest> recorded_;  ///< By the Decide() under way.
   std::vector<traffic::RequestDigest> cleared_;    ///< The same.
   std::vector<SuspectNote> notes_;
-  Instant look_due_{};
+  Instant decision_due_{};
 };
 
 }  // namespace graniteseam::control
--- a/src/control/traffic_leader.h
+++ b/src/control/traffic_leader.h
@@ -59,7 +59,7 @@
     ranges_.TakeLoads(poll, now);
     hints_.TakePoll(poll, now);
     crashes_.TakePoll(poll, now);
-    rollout_.Heard(poll.router, poll.version, now);
+    rollout_.RecordPoll(poll.router, poll.version, now);
     FollowTenants(now);
     return sessions_.Poll(connection, poll, now, feed,
                           quotas_.TakePoll(poll.router, poll.quota, now));
@@ -76,7 +76,7 @@
 
   /// What routers are to be sent by themselves.
   std::vector<RouterSend> Push(Instant now) {
-    rollout_.Look(now);
+    rollout_.Evaluate(now);
     std::vector<RouterSend> sends = sessions_.Push(now);
     if (sessions_.HasNew()) {
       traffic::TrafficHints all = hints_.All(now);
@@ -84,7 +84,7 @@
       sessions_.TellNew(all, sends);
     }
     if (!hints_.IsDue(now)) return sends;
-    const auto hints = hints_.Look(ranges_.HotKeys(), now, limits_.TakeChanges(now));
+    const auto hints = hints_.Evaluate(ranges_.HotKeys(), now, limits_.TakeChanges(now));
     if (!hints) return sends;
     for (const traffic::HotKey& hot : hints->hot_keys) ranges_.NoteTold(hot);
     sessions_.TellAll(*hints, sends);
--- a/tests/consensus/closing_loss_test.cc
+++ b/tests/consensus/closing_loss_test.cc
@@ -164,7 +164,7 @@
   std::size_t voters_;
   std::mt19937_64 random_;
   VirtualCluster cluster_;
-  graniteseam::control::MembershipKeeperOptions keeper_;
+  graniteseam::control::MembershipRepairOptions keeper_;
   std::int64_t look_due_ = 0;
   std::vector<std::string> acknowledged_;
 };
--- a/tests/consensus/virtual_cluster.cc
+++ b/tests/consensus/virtual_cluster.cc
@@ -407,7 +407,7 @@
   return false;
 }
 
-bool VirtualCluster::KeeperStep(const control::MembershipKeeperOptions& options) {
+bool VirtualCluster::KeeperStep(const control::MembershipRepairOptions& options) {
   const std::uint64_t leader = Leader();
   if (leader == 0) return false;
   const RaftConsensus& raft = Raft(leader);
--- a/tests/consensus/virtual_cluster.h
+++ b/tests/consensus/virtual_cluster.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "graniteseam/consensus/raft_consensus.h"
-#include "src/control/membership_keeper.h"
+#include "src/control/membership_repair.h"
 #include "src/storage/consensus_storage.h"
 #include "src/storage/memory_file_system.h"
 
@@ -99,7 +99,7 @@
   /// promotion, removal of the old incarnation. @return whether there was a step to take.
   bool RepairStep();
   /// Takes the next step that the shipped keeper wants. @return whether it wanted one.
-  bool KeeperStep(const control::MembershipKeeperOptions& options);
+  bool KeeperStep(const control::MembershipRepairOptions& options);
   /// Repairs until the membership is `voters` answering voters and no learner.
   bool Repair(std::size_t voters, Duration limit = std::chrono::seconds(20));
 
--- a/tests/control/configuration_rollout_test.cc
+++ b/tests/control/configuration_rollout_test.cc
@@ -18,14 +18,14 @@
   ConfigurationRollout rollout{kStart};
 
   Fixture() {
-    rollout.Heard({"r-1"}, 10, kStart);
-    rollout.Heard({"r-2"}, 10, kStart);
-    rollout.Committed(traffic::ConfigurationVersion{5}, kSent, kStart);
+    rollout.RecordPoll({"r-1"}, 10, kStart);
+    rollout.RecordPoll({"r-2"}, 10, kStart);
+    rollout.RecordCommit(traffic::ConfigurationVersion{5}, kSent, kStart);
     static_cast<void>(rollout.TakeNotes());
   }
 
-  std::vector<RolloutNote> Look(Instant now) {
-    rollout.Look(now);
+  std::vector<RolloutNote> Evaluate(Instant now) {
+    rollout.Evaluate(now);
     return rollout.TakeNotes();
   }
 };
@@ -39,44 +39,44 @@
 
 Test(configuration_rollout, tells_when_the_last_router_has_a_change) {
   Fixture fixture;
-  fixture.rollout.Heard({"r-1"}, kSent, kStart + 100 * kMs);
+  fixture.rollout.RecordPoll({"r-1"}, kSent, kStart + 100 * kMs);
   cr_assert(fixture.rollout.TakeNotes().empty());
-  fixture.rollout.Heard({"r-2"}, kSent + 3, kStart + 400 * kMs);
+  fixture.rollout.RecordPoll({"r-2"}, kSent + 3, kStart + 400 * kMs);
   const auto notes = fixture.rollout.TakeNotes();
   cr_assert(Count(notes, "configuration_in_force") == 1);
   cr_assert(notes.front().router == RouterId{"r-2"});
   cr_assert(fixture.rollout.NextDue() < Instant::max());
-  cr_assert(fixture.Look(kStart + 1'100 * kMs).empty());
+  cr_assert(fixture.Evaluate(kStart + 1'100 * kMs).empty());
   cr_assert(fixture.rollout.NextDue() == Instant::max(), "nothing is left to look for");
 }
 
 Test(configuration_rollout, tells_once_that_a_router_is_behind_and_once_that_it_caught_up) {
   Fixture fixture;
-  fixture.rollout.Heard({"r-1"}, kSent, kStart + 100 * kMs);
-  cr_assert(fixture.Look(kStart + 900 * kMs).empty());
-  const auto behind = fixture.Look(kStart + 1'000 * kMs);
+  fixture.rollout.RecordPoll({"r-1"}, kSent, kStart + 100 * kMs);
+  cr_assert(fixture.Evaluate(kStart + 900 * kMs).empty());
+  const auto behind = fixture.Evaluate(kStart + 1'000 * kMs);
   cr_assert(Count(behind, "router_behind") == 1);
   cr_assert(behind.front().router == RouterId{"r-2"});
   cr_assert(behind.front().inputs.starts_with("told version 10, heard 1000 ms"));
-  cr_assert(fixture.Look(kStart + 2'000 * kMs).empty());
-  fixture.rollout.Heard({"r-2"}, kSent, kStart + 2'500 * kMs);
+  cr_assert(fixture.Evaluate(kStart + 2'000 * kMs).empty());
+  fixture.rollout.RecordPoll({"r-2"}, kSent, kStart + 2'500 * kMs);
   cr_assert(Count(fixture.rollout.TakeNotes(), "router_caught_up") == 1);
 }
 
 Test(configuration_rollout, router_that_is_not_heard_of_any_more_keeps_no_change_open) {
   Fixture fixture;
-  fixture.rollout.Heard({"r-1"}, kSent, kStart + 2'100 * kMs);
+  fixture.rollout.RecordPoll({"r-1"}, kSent, kStart + 2'100 * kMs);
   cr_assert(Count(fixture.rollout.TakeNotes(), "configuration_in_force") == 1);
 }
 
 Test(configuration_rollout, follows_a_bounded_number_of_changes) {
   Fixture fixture;
   for (std::uint64_t change = 1; change <= 1'000; ++change) {
-    fixture.rollout.Committed(traffic::ConfigurationVersion{5 + change}, kSent + change, kStart);
+    fixture.rollout.RecordCommit(traffic::ConfigurationVersion{5 + change}, kSent + change, kStart);
   }
   static_cast<void>(fixture.rollout.TakeNotes());
-  fixture.rollout.Heard({"r-1"}, kSent + 1'000, kStart);
-  fixture.rollout.Heard({"r-2"}, kSent + 1'000, kStart);
+  fixture.rollout.RecordPoll({"r-1"}, kSent + 1'000, kStart);
+  fixture.rollout.RecordPoll({"r-2"}, kSent + 1'000, kStart);
   cr_assert(Count(fixture.rollout.TakeNotes(), "configuration_in_force") == 64);
 }
 
@@ -92,12 +92,12 @@
   }
 
   void HearBoth(std::uint64_t version, Duration after) {
-    rollout.Heard({"r-1"}, version, kStart + after);
-    rollout.Heard({"r-2"}, version, kStart + after);
+    rollout.RecordPoll({"r-1"}, version, kStart + after);
+    rollout.RecordPoll({"r-2"}, version, kStart + after);
   }
   void Change(std::uint64_t request, std::uint64_t version, Duration after) {
-    rollout.Committed(traffic::ConfigurationVersion{version}, version, kStart + after);
-    rollout.Hold(request, version);
+    rollout.RecordCommit(traffic::ConfigurationVersion{version}, version, kStart + after);
+    rollout.HoldAcknowledgement(request, version);
   }
   std::size_t DueAt(Duration after) { return rollout.TakeDue(kStart + after).size(); }
 };
@@ -107,51 +107,51 @@
 Test(configuration_rollout, acknowledgement_leaves_when_every_router_has_the_change) {
   HeldFixture fixture;
   cr_assert(fixture.DueAt(710 * kMs) == 0);
-  fixture.rollout.Heard({"r-1"}, kSent + 5, kStart + 720 * kMs);
+  fixture.rollout.RecordPoll({"r-1"}, kSent + 5, kStart + 720 * kMs);
   cr_assert(fixture.DueAt(720 * kMs) == 0);
-  fixture.rollout.Heard({"r-2"}, kSent + 5, kStart + 730 * kMs);
+  fixture.rollout.RecordPoll({"r-2"}, kSent + 5, kStart + 730 * kMs);
   cr_assert(fixture.DueAt(730 * kMs) == 1);
   cr_assert(fixture.DueAt(2'000 * kMs) == 0, "it leaves once");
 }
 
 Test(configuration_rollout, acknowledgement_waits_for_a_router_for_a_bounded_time_and_only_once) {
   HeldFixture fixture;
-  fixture.rollout.Heard({"r-1"}, kSent + 5, kStart + 720 * kMs);
+  fixture.rollout.RecordPoll({"r-1"}, kSent + 5, kStart + 720 * kMs);
   cr_assert(fixture.rollout.NextDue() <= kStart + 1'200 * kMs);
   cr_assert(fixture.DueAt(1'199 * kMs) == 0);
   cr_assert(fixture.DueAt(1'200 * kMs) == 1);
   // The one that missed it is not waited for again, though it is heard of.
-  fixture.rollout.Heard({"r-2"}, 10, kStart + 1'450 * kMs);
+  fixture.rollout.RecordPoll({"r-2"}, 10, kStart + 1'450 * kMs);
   fixture.Change(kRequest + 1, kSent + 6, 1'500 * kMs);
-  fixture.rollout.Heard({"r-1"}, kSent + 6, kStart + 1'510 * kMs);
+  fixture.rollout.RecordPoll({"r-1"}, kSent + 6, kStart + 1'510 * kMs);
   cr_assert(fixture.DueAt(1'510 * kMs) == 1);
   // It is again once it has caught up.
-  fixture.rollout.Heard({"r-2"}, kSent + 6, kStart + 1'600 * kMs);
+  fixture.rollout.RecordPoll({"r-2"}, kSent + 6, kStart + 1'600 * kMs);
   fixture.Change(kRequest + 2, kSent + 7, 1'700 * kMs);
-  fixture.rollout.Heard({"r-1"}, kSent + 7, kStart + 1'710 * kMs);
+  fixture.rollout.RecordPoll({"r-1"}, kSent + 7, kStart + 1'710 * kMs);
   cr_assert(fixture.DueAt(1'710 * kMs) == 0);
 }
 
 Test(configuration_rollout, router_that_is_silent_is_not_waited_for) {
   HeldFixture fixture;
   fixture.Change(kRequest + 1, kSent + 6, 2'000 * kMs);
-  fixture.rollout.Heard({"r-1"}, kSent + 6, kStart + 2'010 * kMs);
+  fixture.rollout.RecordPoll({"r-1"}, kSent + 6, kStart + 2'010 * kMs);
   cr_assert(fixture.DueAt(2'010 * kMs) == 2);
 }
 
 Test(configuration_rollout, change_that_is_sent_again_waits_no_longer_than_the_first) {
   HeldFixture fixture;
-  fixture.rollout.Hold(kRequest, kSent + 5);
+  fixture.rollout.HoldAcknowledgement(kRequest, kSent + 5);
   cr_assert(fixture.DueAt(1'199 * kMs) == 0);
   cr_assert(fixture.DueAt(1'200 * kMs) == 2);
-  fixture.rollout.Heard({"r-2"}, 10, kStart + 1'250 * kMs);
-  fixture.rollout.Hold(kRequest, kSent + 5);
+  fixture.rollout.RecordPoll({"r-2"}, 10, kStart + 1'250 * kMs);
+  fixture.rollout.HoldAcknowledgement(kRequest, kSent + 5);
   cr_assert(fixture.DueAt(1'300 * kMs) == 1);
 }
 
 Test(configuration_rollout, new_leader_waits_until_routers_have_found_it) {
   ConfigurationRollout rollout(kStart);
-  rollout.Hold(kRequest, kSent);
+  rollout.HoldAcknowledgement(kRequest, kSent);
   cr_assert(rollout.TakeDue(kStart + 490 * kMs).empty());
   cr_assert(rollout.NextDue() == kStart + 500 * kMs);
   cr_assert(rollout.TakeDue(kStart + 500 * kMs).size() == 1);
@@ -169,16 +169,16 @@
   constexpr int kRouters = 1'000;
   ConfigurationRollout rollout(kStart);
   const auto router = [](int number) { return RouterId{"r-" + std::to_string(number)}; };
-  for (int number = 0; number < kRouters; ++number) rollout.Heard(router(number), 10, kStart);
-  rollout.Committed(traffic::ConfigurationVersion{5}, kSent, kStart + 600 * kMs);
-  rollout.Hold(1, kSent);
+  for (int number = 0; number < kRouters; ++number) rollout.RecordPoll(router(number), 10, kStart);
+  rollout.RecordCommit(traffic::ConfigurationVersion{5}, kSent, kStart + 600 * kMs);
+  rollout.HoldAcknowledgement(1, kSent);
   const std::uint64_t before = rollout.looks();
   std::size_t acknowledged = 0;
   for (int poll = 0; poll < 2 * kRouters; ++poll) {
     const Instant now = kStart + 600 * kMs + std::chrono::microseconds(100 * poll);
     // One is behind until the end.
     const bool has_it = poll % kRouters != 0 || poll >= kRouters;
-    rollout.Heard(router(poll % kRouters), has_it ? kSent : 10, now);
+    rollout.RecordPoll(router(poll % kRouters), has_it ? kSent : 10, now);
     acknowledged += rollout.TakeDue(now).size();
   }
   acknowledged += rollout.TakeDue(kStart + 850 * kMs).size();
--- a/tests/control/displacement_test.cc
+++ b/tests/control/displacement_test.cc
@@ -36,7 +36,7 @@
     report.service = kRanged;
     report.address = "10.0.0.1:80";
     report.sequence = sequence;
-    liveness.Heard(report.id, at);
+    liveness.RecordHeartbeat(report.id, at);
     instances.Report(report, static_cast<std::uint64_t>(ToMicros(at)));
   }
 };
@@ -44,23 +44,23 @@
 }  // namespace
 
 Test(displacement, end_is_proven_once_no_heartbeat_of_a_forerunner_can_come) {
-  const Displaced soon(kHeartbeatLateMaximum);
+  const Displaced soon(kHeartbeatDelayMaximum);
   cr_assert(!HasProvablyEnded(soon.instances, soon.liveness, {"i-1"}));
-  const Displaced later(kHeartbeatLateMaximum + kSecond);
+  const Displaced later(kHeartbeatDelayMaximum + kSecond);
   cr_assert(HasProvablyEnded(later.instances, later.liveness, {"i-1"}));
   cr_assert(!HasProvablyEnded(later.instances, later.liveness, {"i-2"}));
   cr_assert(!HasProvablyEnded(later.instances, later.liveness, {"i-3"}));
 }
 
 Test(displacement, new_leader_that_never_heard_of_the_displaced_one_proves_nothing) {
-  const Displaced displaced(kHeartbeatLateMaximum + kSecond);
+  const Displaced displaced(kHeartbeatDelayMaximum + kSecond);
   const InstanceLiveness fresh(4 * kSecond, kStart + 20 * kSecond);
   cr_assert(!HasProvablyEnded(displaced.instances, fresh, {"i-1"}));
 }
 
 Test(displacement, instance_is_a_forerunner_when_the_displaced_one_goes_on_for_long) {
   Displaced displaced(kSecond);
-  Instant now = kStart + kSecond + kHeartbeatLateMaximum;
+  Instant now = kStart + kSecond + kHeartbeatDelayMaximum;
   displaced.Hear("i-1", 9, now);
   cr_assert(FindStaleAddressHolders(displaced.instances, displaced.liveness, now).empty());
   now += kSecond;
--- a/tests/control/feed_selector_test.cc
+++ b/tests/control/feed_selector_test.cc
@@ -33,7 +33,7 @@
   FeedSelector choice;
   choice.Take(MakeMember(1, "a"), {Peer(2, "a"), Peer(3, "a"), Peer(4, "b"), Peer(5, "b")}, kStart);
   std::map<std::string, int> taken;
-  for (int number = 0; number < 400; ++number) ++taken[choice.For(Router(number), {"a"}, 0)];
+  for (int number = 0; number < 400; ++number) ++taken[choice.SelectFeed(Router(number), {"a"}, 0)];
   cr_assert_eq(taken.size(), 2U);
   for (const auto& [address, routers] : taken) {
     cr_assert(address == "10.0.0.2:1" || address == "10.0.0.3:1", "%s", address.c_str());
@@ -47,17 +47,18 @@
   FeedSelector other;
   other.Take(MakeMember(4, "c"), {Peer(2, "b"), Peer(3, "b"), Peer(1, "a")}, kStart);
   for (int number = 0; number < 50; ++number) {
-    cr_assert_eq(choice.For(Router(number), {"b"}, 0), other.For(Router(number), {"b"}, 0));
+    cr_assert_eq(choice.SelectFeed(Router(number), {"b"}, 0),
+                 other.SelectFeed(Router(number), {"b"}, 0));
   }
 }
 
 Test(feed_choice, leader_feeds_its_zone_only_where_that_has_no_other_member) {
   FeedSelector choice;
   choice.Take(MakeMember(1, "a"), {Peer(2, "b")}, kStart);
-  cr_assert_eq(choice.For(Router(1), {"a"}, 0), "10.0.0.1:1");
+  cr_assert_eq(choice.SelectFeed(Router(1), {"a"}, 0), "10.0.0.1:1");
   FeedSelector alone;
   alone.Take(MakeMember(1, "a"), {}, kStart);
-  cr_assert_eq(alone.For(Router(1), {"z"}, 3), "10.0.0.1:1");
+  cr_assert_eq(alone.SelectFeed(Router(1), {"z"}, 3), "10.0.0.1:1");
 }
 
 Test(feed_choice, router_whose_feed_does_not_keep_up_is_named_each_other_one) {
@@ -65,7 +66,7 @@
   choice.Take(MakeMember(1, "a"), {Peer(2, "a"), Peer(3, "a"), Peer(4, "b"), Peer(5, "c")}, kStart);
   std::set<std::string> named;
   for (std::uint32_t tried = 0; tried < 6; ++tried) {
-    named.insert(choice.For(Router(7), {"a"}, tried));
+    named.insert(choice.SelectFeed(Router(7), {"a"}, tried));
   }
   cr_assert_eq(named.size(), 4U);
 }
@@ -77,7 +78,7 @@
   behind.caught_up = false;
   FeedSelector choice;
   choice.Take(MakeMember(1, "b"), {silent, behind, Peer(4, "c")}, kStart);
-  cr_assert_eq(choice.For(Router(1), {"a"}, 0), "10.0.0.4:1");
+  cr_assert_eq(choice.SelectFeed(Router(1), {"a"}, 0), "10.0.0.4:1");
 }
 
 // Members that were behind for a moment fell out of the list, and every router of their zone was
@@ -89,17 +90,17 @@
   choice.Take(MakeMember(1, "b"), whole, kStart);
   std::map<int, std::string> before;
   for (int number = 0; number < 200; ++number)
-    before[number] = choice.For(Router(number), {"a"}, 0);
+    before[number] = choice.SelectFeed(Router(number), {"a"}, 0);
   auto lagging = whole;
   for (consensus::PeerStatus& peer : lagging) peer.caught_up = false;
   choice.Take(MakeMember(1, "b"), lagging, kStart + std::chrono::seconds(1));
   for (int number = 0; number < 200; ++number) {
-    cr_assert_eq(choice.For(Router(number), {"a"}, 0), before[number]);
+    cr_assert_eq(choice.SelectFeed(Router(number), {"a"}, 0), before[number]);
   }
   // One is gone: only its routers change.
   choice.Take(MakeMember(1, "b"), {whole[0], whole[1], whole[3]}, kStart + std::chrono::seconds(2));
   for (int number = 0; number < 200; ++number) {
     if (before[number] == "10.0.0.4:1") continue;
-    cr_assert_eq(choice.For(Router(number), {"a"}, 0), before[number]);
+    cr_assert_eq(choice.SelectFeed(Router(number), {"a"}, 0), before[number]);
   }
 }
--- a/tests/control/heartbeat_leases_test.cc
+++ b/tests/control/heartbeat_leases_test.cc
@@ -92,7 +92,7 @@
   control::InstanceLimits limits;
   control::RangeController leader({}, state, liveness, limits, {}, kStart);
   const auto hear = [&](const std::string& id, std::int64_t sequence, Instant now) {
-    liveness.Heard({id}, now);
+    liveness.RecordHeartbeat({id}, now);
     leader.TakeHeartbeat(EmptyHeartbeat(id, sequence), now);
   };
   hear("i-1", 2, kStart + kSecond / 10);
@@ -117,7 +117,7 @@
     for (const char* const id : {"i-1", "i-2"}) {
       control::ReportInstance heartbeat = EmptyHeartbeat(id, step + 2);
       if (*(id + 2) == '1') heartbeat.keys.held = {{{0, traffic::kLastKey}, {2}}};
-      liveness.Heard({id}, kStart + since);
+      liveness.RecordHeartbeat({id}, kStart + since);
       leader.TakeHeartbeat(heartbeat, kStart + since);
     }
     leader.TakeLoads(BusyPoll(), kStart + since);
--- a/tests/control/hint_publisher_test.cc
+++ b/tests/control/hint_publisher_test.cc
@@ -63,29 +63,29 @@
 Test(hint_teller, latency_is_told_once_it_stands_on_some_answers_and_again_when_it_changes) {
   Fixture fixture;
   fixture.Poll("r-1", Answered("p-1", 2, 100'000), 0);
-  cr_assert(!fixture.teller.Look({}, At(1)));
+  cr_assert(!fixture.teller.Evaluate({}, At(1)));
   fixture.Poll("r-2", Answered("p-1", 6, 100'000), 2);
-  const auto told = fixture.teller.Look({}, At(300));
+  const auto told = fixture.teller.Evaluate({}, At(300));
   cr_assert(told && told->instances.size() == 1);
   cr_assert(told->instances[0].latency_us == 100'000);
   cr_assert(told->instances[0].failing_percent == 0);
   fixture.Poll("r-2", Answered("p-1", 6, 110'000), 310);
-  cr_assert(!fixture.teller.Look({}, At(600)), "about the same");
+  cr_assert(!fixture.teller.Evaluate({}, At(600)), "about the same");
   fixture.Poll("r-2", Answered("p-1", 40, 300'000), 610);
-  cr_assert(!fixture.teller.Look({}, At(900)), "means pass through many values");
-  cr_assert(fixture.teller.Look({}, At(4'400)).has_value());
+  cr_assert(!fixture.teller.Evaluate({}, At(900)), "means pass through many values");
+  cr_assert(fixture.teller.Evaluate({}, At(4'400)).has_value());
 }
 
 Test(hint_teller, server_that_several_routers_do_not_reach_is_told) {
   Fixture fixture;
   fixture.Poll("r-1", NotReached("p-1", 5), 0);
-  cr_assert(!fixture.teller.Look({}, At(1)), "one router alone may be cut off");
+  cr_assert(!fixture.teller.Evaluate({}, At(1)), "one router alone may be cut off");
   fixture.Poll("r-2", NotReached("p-1", 1), 10);
-  const auto told = fixture.teller.Look({}, At(300));
+  const auto told = fixture.teller.Evaluate({}, At(300));
   cr_assert(told && told->instances.size() == 1);
   cr_assert(told->instances[0].failing_percent == 100);
   cr_assert(fixture.teller.All(At(300)).instances == told->instances);
-  cr_assert(!fixture.teller.Look({}, At(600)), "told already");
+  cr_assert(!fixture.teller.Evaluate({}, At(600)), "told already");
 }
 
 Test(hint_teller, server_that_answers_most_requests_is_not_told_as_failing) {
@@ -93,26 +93,27 @@
   fixture.Poll("r-1", Answered("p-1", 60, 100'000), 0);
   fixture.Poll("r-1", NotReached("p-1", 2), 0);
   fixture.Poll("r-2", NotReached("p-1", 2), 0);
-  const auto told = fixture.teller.Look({}, At(1));
+  const auto told = fixture.teller.Evaluate({}, At(1));
   cr_assert(told && told->instances.size() == 1 && told->instances[0].failing_percent == 0);
 }
 
 Test(hint_teller, owners_of_keys_are_not_told) {
   Fixture fixture;
   fixture.Poll("r-1", Answered("k-1", 60, 100'000), 0);
-  cr_assert(!fixture.teller.Look({}, At(1)));
+  cr_assert(!fixture.teller.Evaluate({}, At(1)));
 }
 
 Test(hint_teller, hot_key_is_told_refreshed_and_ended) {
   Fixture fixture;
   const std::vector<traffic::HotKey> hot{{kKeyed, 7, 0.2}};
-  cr_assert(fixture.teller.Look(hot, At(0))->hot_keys == hot);
-  cr_assert(!fixture.teller.Look(hot, At(250)));
+  cr_assert(fixture.teller.Evaluate(hot, At(0))->hot_keys == hot);
+  cr_assert(!fixture.teller.Evaluate(hot, At(250)));
   cr_assert(fixture.teller.All(At(250)).hot_keys == hot);
   const std::vector<traffic::HotKey> hotter{{kKeyed, 7, 0.1}};
-  cr_assert(fixture.teller.Look(hotter, At(500))->hot_keys == hotter);
-  cr_assert(fixture.teller.Look(hotter, At(1'500))->hot_keys == hotter, "routers would forget it");
+  cr_assert(fixture.teller.Evaluate(hotter, At(500))->hot_keys == hotter);
+  cr_assert(fixture.teller.Evaluate(hotter, At(1'500))->hot_keys == hotter,
+            "routers would forget it");
   const std::vector<traffic::HotKey> over{{kKeyed, 7, 1}};
-  cr_assert(fixture.teller.Look({}, At(1'750))->hot_keys == over);
-  cr_assert(!fixture.teller.Look({}, At(2'000)));
+  cr_assert(fixture.teller.Evaluate({}, At(1'750))->hot_keys == over);
+  cr_assert(!fixture.teller.Evaluate({}, At(2'000)));
 }
--- a/tests/control/instance_limits_test.cc
+++ b/tests/control/instance_limits_test.cc
@@ -75,9 +75,9 @@
 Test(instance_limits, instance_that_asks_for_rest_again_and_again_is_avoided_for_longer) {
   InstanceLimits limits;
   limits.Take(traffic::InstanceRest{kOwner, 500}, At(0));
-  cr_assert(!limits.Rests(kOwner, At(100)), "over before keys have moved");
+  cr_assert(!limits.IsBackingOff(kOwner, At(100)), "over before keys have moved");
   limits.Take(traffic::InstanceRest{kOwner, 3'000}, At(1'000));
-  cr_assert(limits.Rests(kOwner, At(5'900)) && !limits.Rests(kOwner, At(6'100)));
+  cr_assert(limits.IsBackingOff(kOwner, At(5'900)) && !limits.IsBackingOff(kOwner, At(6'100)));
   limits.Take(traffic::InstanceRest{kOwner, 3'000}, At(7'000));
-  cr_assert(limits.Rests(kOwner, At(13'900)) && !limits.Rests(kOwner, At(14'100)));
+  cr_assert(limits.IsBackingOff(kOwner, At(13'900)) && !limits.IsBackingOff(kOwner, At(14'100)));
 }
--- a/tests/control/leased_world.cc
+++ b/tests/control/leased_world.cc
@@ -230,7 +230,7 @@
 void LeasedWorld::Arrive(const Message& message) {
   if (!leader_) return;
   const ReportInstance& heartbeat = message.heartbeat;
-  liveness_->Heard(heartbeat.report.id, now_);
+  liveness_->RecordHeartbeat(heartbeat.report.id, now_);
   if (state_.instances().WouldChange(heartbeat.report)) {
     state_.Report({heartbeat.report}, ++log_index_);
   }
--- a/tests/control/membership_keeper_test.cc
+++ b/tests/control/membership_repair_test.cc
@@ -1,4 +1,4 @@
-#include "src/control/membership_keeper.h"
+#include "src/control/membership_repair.h"
 
 #include <criterion/criterion.h>
 
@@ -22,8 +22,8 @@
   return {member, std::chrono::milliseconds(silence_ms), caught_up};
 }
 
-MembershipKeeperOptions Enabled() {
-  MembershipKeeperOptions options;
+MembershipRepairOptions Enabled() {
+  MembershipRepairOptions options;
   options.enabled = true;
   return options;
 }
@@ -93,7 +93,7 @@
 
 Test(membership_keeper, group_grows_to_the_voters_that_are_wanted) {
   const Member e = MakeMember(5, 15);
-  MembershipKeeperOptions options = Enabled();
+  MembershipRepairOptions options = Enabled();
   options.voters = 5;
   MembershipView view{kA,
                       {{kA, kB, kC}, {kD, e}},
--- a/tests/control/range_controller_test.cc
+++ b/tests/control/range_controller_test.cc
@@ -70,7 +70,7 @@
     for (std::int64_t ms = from_ms; ms <= to_ms; ms += 10) {
       // An instance that answers no orders sends no heartbeats either.
       for (const auto& [id, instance] : state.instances().instances()) {
-        if (!answers.contains(id.value)) liveness.Heard(id, At(ms));
+        if (!answers.contains(id.value)) liveness.RecordHeartbeat(id, At(ms));
       }
       for (const CommandBody& command : controller->Decide(At(ms))) Apply(command);
       for (const RangeOrder& order : controller->Orders(At(ms))) {
@@ -182,7 +182,7 @@
   fixture.answers["i-1"] = RangeOrderResult::Outcome::kNotDelivered;
   fixture.Run(2'010, 3'500);
   // Sent before it ended, and on its way for long.
-  fixture.liveness.Heard({"i-1"}, At(3'500));
+  fixture.liveness.RecordHeartbeat({"i-1"}, At(3'500));
   fixture.Run(3'510, 9'000);
   cr_assert(fixture.KeysOf(RangePhase::kServing).count("i-1") == 0);
   cr_assert(fixture.KeysOf(RangePhase::kServing).size() == 2);
@@ -510,7 +510,7 @@
     return std::holds_alternative<AssignRangesCommand>(command);
   };
   for (; ms < 12'000 && proposed.empty(); ms += 10) {
-    for (const auto* id : {"i-2", "i-3"}) fixture.liveness.Heard({id}, At(ms));
+    for (const auto* id : {"i-2", "i-3"}) fixture.liveness.RecordHeartbeat({id}, At(ms));
     auto commands = fixture.controller->Decide(At(ms));
     if (std::any_of(commands.begin(), commands.end(), gives_away)) proposed = std::move(commands);
     for (const RangeOrder& order : fixture.controller->Orders(At(ms))) {
@@ -523,7 +523,7 @@
   cr_assert(!proposed.empty());
   // It is heard of again; a grant now would stand beside that of the next owner.
   for (; ms < 13'000; ms += 10) {
-    for (const auto* id : {"i-1", "i-2", "i-3"}) fixture.liveness.Heard({id}, At(ms));
+    for (const auto* id : {"i-1", "i-2", "i-3"}) fixture.liveness.RecordHeartbeat({id}, At(ms));
     for (const RangeOrder& order : fixture.controller->Orders(At(ms))) {
       cr_assert(order.instance.value != "i-1", "granted %lld ms", static_cast<long long>(ms));
       fixture.controller->TakeResult({order.number, RangeOrderResult::Outcome::kDone, ""}, At(ms));
--- a/tests/control/suspect_detector_test.cc
+++ b/tests/control/suspect_detector_test.cc
@@ -98,8 +98,8 @@
   fixture.Lose(kLethal, "i-2", 6'000, 6'050);
   fixture.Lose(kLethal, "i-3", 7'000, 7'050);
   for (const char* id : {"i-1", "i-2", "i-3"}) {
-    fixture.liveness.Heard({id}, At(8'000));
-    fixture.liveness.Heard({id}, At(9'500));
+    fixture.liveness.RecordHeartbeat({id}, At(8'000));
+    fixture.liveness.RecordHeartbeat({id}, At(9'500));
   }
   fixture.RunUntil(20'000);
   cr_assert(!fixture.Suspected(kLethal));
@@ -108,7 +108,7 @@
 Test(crash_tally, one_late_heartbeat_does_not_bring_an_instance_back) {
   Fixture fixture;
   fixture.Lose(kLethal, "i-1", 5'000, 5'050);
-  fixture.liveness.Heard({"i-1"}, At(6'500));
+  fixture.liveness.RecordHeartbeat({"i-1"}, At(6'500));
   fixture.Lose(kLethal, "i-2", 8'000, 8'050);
   fixture.RunUntil(10'500);
   fixture.Lose(kLethal, "i-3", 11'000, 11'050);
