--- a/include/graniteseam/control/traffic_options.h
+++ b/include/graniteseam/control/traffic_options.h
@@ -58,7 +58,7 @@
   bool enabled = false;
   std::size_t voters = 3;             ///< Wanted; more machines are learners in reserve.
   Duration replace_after{6'000'000};  ///< Silence after which a reserve takes a voter's place.
-  Duration forget_learner_after{30'000'000};
+  Duration remove_learner_after{30'000'000};
 };
 
 }  // namespace graniteseam::control
--- a/src/control/instance_liveness.h
+++ b/src/control/instance_liveness.h
@@ -14,9 +14,10 @@
 /// only. Not thread safe.
 class InstanceLiveness {
  public:
-  /// @param silence after which an instance gets nothing new.
+  /// @param unreachable_after after which an instance gets nothing new.
   /// @param now the start of a leadership: all instances count as heard then.
-  InstanceLiveness(Duration silence, Instant now) : silence_(silence), start_(now) {}
+  InstanceLiveness(Duration unreachable_after, Instant now)
+      : unreachable_after_(unreachable_after), start_(now) {}
 
   void RecordHeartbeat(const traffic::InstanceId& id, Instant now) {
     HeardTimes& times = heard_.try_emplace(id, HeardTimes{now, {}, now}).first->second;
@@ -25,7 +26,7 @@
   }
 
   bool IsUnreachable(const traffic::InstanceId& id, Instant now) const {
-    return now - LastHeard(id).value_or(start_) > silence_;
+    return now - LastHeard(id).value_or(start_) > unreachable_after_;
   }
 
   bool HeardSince(const traffic::InstanceId& id, Instant since) const {
@@ -60,7 +61,7 @@
     Instant last;
   };
 
-  const Duration silence_;
+  const Duration unreachable_after_;
   const Instant start_;
   std::map<traffic::InstanceId, HeardTimes> heard_;
 };
--- a/src/control/membership_repair.cc
+++ b/src/control/membership_repair.cc
@@ -63,13 +63,13 @@
 }
 
 /// A voter that is over: another one of its id votes with a newer disk, or it is one too many and
-/// silent.
+/// unreachable.
 const Member* SurplusVoter(const MembershipRepairOptions& options, const MembershipView& view) {
   const auto& voters = view.membership.voters;
   if (voters.size() <= options.voters || ReachableVoterCount(view) < options.voters) return nullptr;
-  const auto silent = std::find_if(voters.begin(), voters.end(),
-                                   [&](const Member& voter) { return !IsReachable(view, voter); });
-  return silent == voters.end() ? nullptr : &*silent;
+  const auto unreachable = std::find_if(
+      voters.begin(), voters.end(), [&](const Member& voter) { return !IsReachable(view, voter); });
+  return unreachable == voters.end() ? nullptr : &*unreachable;
 }
 
 /// A voter whose machine came back with another disk that holds the log by now. What it was never
@@ -150,7 +150,7 @@
   if (auto admitted = Admission(view)) return admitted;
   for (const Member& learner : view.membership.learners) {
     const consensus::PeerStatus* status = StatusOf(view, learner);
-    if (status != nullptr && status->silence >= options.forget_learner_after) {
+    if (status != nullptr && status->silence >= options.remove_learner_after) {
       return WithoutLearner(view.membership, learner);
     }
   }
