--- a/include/graniteseam/control/operator_messages.h
+++ b/include/graniteseam/control/operator_messages.h
@@ -1,6 +1,6 @@
 /// @file
-/// What operators ask of the control group and what the platform tells it. The HTTP adapter turns
-/// docs/interface/operators.md into these.
+/// Requests of operators and instances to the control group, and the platform's list of machines.
+/// The HTTP adapter converts the requests of docs/interface/operators.md to these types.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -42,14 +42,17 @@
   BundleVersion version;
   std::string digest;
 };
+/// Moves a shard to another server.
 struct MoveShard {
   ShardId shard;
   ServerId target;
 };
+/// Marks a server as draining, so that its shards move to other servers.
 struct DrainServer {
   ServerId server;
-  bool draining = true;  ///< False undoes it.
+  bool draining = true;  ///< False ends the drain.
 };
+/// Changes the control group's membership by one member.
 struct ChangeMembership {
   enum class Kind { kAddLearner, kPromote, kRemove };
   BOOST_DESCRIBE_NESTED_ENUM(Kind, kAddLearner, kPromote, kRemove)
@@ -57,8 +60,11 @@
   consensus::Member member;
 };
 BOOST_DESCRIBE_STRUCT(ChangeMembership, (), (kind, member))
+/// Requests a BundlesView.
 struct ReadBundles {};
+/// Requests a FleetView.
 struct ReadFleet {};
+/// Requests a ShardsView.
 struct ReadShards {
   ServiceName service;  ///< Empty: all.
 };
@@ -67,12 +73,14 @@
 struct ChangeConfiguration {
   traffic::ConfigurationChange change;
 };
+/// Requests a ConfigurationView.
 struct ReadConfiguration {};
 /// An instance's heartbeat.
 struct ReportInstance {
   traffic::InstanceReport report;
-  traffic::HeldKeys keys{};  ///< Of instances that are leased keys by heartbeat.
+  traffic::HeldKeys keys{};  ///< For instances whose keys are leased by heartbeat.
 };
+/// Removes an instance from service.
 struct DeregisterInstance {
   traffic::InstanceId instance;
 };
@@ -80,7 +88,7 @@
 /// Drains a zone: its instances get no new work, and their keys move to other zones. Idempotent.
 struct DrainZone {
   ZoneName zone;
-  bool drained = true;  ///< False takes it back.
+  bool drained = true;  ///< False ends the drain.
 };
 
 using OperatorRequest =
@@ -91,20 +99,22 @@
 using bundle::BundleRecord;
 using bundle::BundleState;
 
-/// The version that one process applies at present.
+/// The bundle version that a process currently applies.
 struct ProcessVersion {
   std::string process;  ///< Router id or control id.
   std::string kind;     ///< "router" or "control".
   BundleVersion version;
-  std::int64_t age_ms = 0;  ///< Since it was last heard of.
+  std::int64_t age_ms = 0;  ///< Since the last report of the process.
 };
 BOOST_DESCRIBE_STRUCT(ProcessVersion, (), (process, kind, version, age_ms))
+/// All bundles with their states, and the version applied by each process.
 struct BundlesView {
   BundleVersion in_force;
   std::vector<BundleRecord> bundles;
   std::vector<ProcessVersion> processes;
 };
 BOOST_DESCRIBE_STRUCT(BundlesView, (), (in_force, bundles, processes))
+/// A server with its lease and load state.
 struct ServerView {
   ServerEntry entry;
   bool leased = false;
@@ -113,6 +123,7 @@
   std::uint32_t shards = 0;
 };
 BOOST_DESCRIBE_STRUCT(ServerView, (), (entry, leased, draining, lease_remaining_ms, shards))
+/// The control group, servers and routers as known to the answering process.
 struct FleetView {
   std::optional<consensus::Member> leader;
   consensus::Membership membership;
@@ -121,36 +132,41 @@
   BundleVersion bundle_version;
   std::vector<ServerView> servers;
   std::vector<ProcessVersion> routers;
-  std::uint64_t shard_moves = 0;  ///< Assignments of a shard that had another owner before.
+  std::uint64_t shard_moves = 0;  ///< Number of assignments of shards that had a previous owner.
   std::vector<ZoneName> drained_zones;
 };
 BOOST_DESCRIBE_STRUCT(FleetView, (),
                       (leader, membership, term, commit_index, bundle_version, servers, routers,
                        shard_moves, drained_zones))
+/// The shards of one service or of all services.
 struct ShardsView {
   std::uint64_t version = 0;
   std::vector<ShardEntry> shards;
 };
 BOOST_DESCRIBE_STRUCT(ShardsView, (), (version, shards))
+/// The request was accepted and, if it changes the state, committed.
 struct Accepted {
-  LogIndex index;  ///< Where the change stands in the log.
+  LogIndex index;  ///< Log index of the change.
 };
 BOOST_DESCRIBE_STRUCT(Accepted, (), (index))
 
+/// The traffic configuration and tenants that are in force.
 struct ConfigurationView {
   traffic::Configuration configuration;
+  /// Whether requests must carry a tenant's key.
   bool speaks_of_tenants = false;
   std::vector<traffic::Tenant> tenants;
 };
 BOOST_DESCRIBE_STRUCT(ConfigurationView, (), (configuration, speaks_of_tenants, tenants))
 
-/// The answer to a heartbeat of an instance that is leased keys by it.
+/// The answer to a heartbeat of an instance whose keys are leased by heartbeat.
 using traffic::KeyLeases;
 
 using OperatorAnswer =
     std::variant<Accepted, BundlesView, FleetView, ShardsView, Error, ConfigurationView, KeyLeases>;
 
-/// One machine of the platform's list (docs/interface/platform.md). The list lags: it is a hint.
+/// One machine of the platform's list (docs/interface/platform.md). The list may be out of date, so
+/// it is only a hint.
 struct PlatformMachine {
   ServerId server;
   ServiceName service;
@@ -158,6 +174,7 @@
   ZoneName zone;
   bool leaving = false;
 };
+/// The platform's list of machines.
 struct PlatformList {
   std::vector<PlatformMachine> machines;
 };
--- a/include/graniteseam/control/rollout_note.h
+++ b/include/graniteseam/control/rollout_note.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a leader tells of a configuration change on its way to the routers.
+/// Records of the rollout of configuration changes to routers, for the event log.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,17 @@
 
 namespace graniteseam::control {
 
-/// One step of a change, a router that is behind, or a tenant's quota that is used up; for the
-/// event log.
+/// An event log record: a step of a configuration change, a router that lags behind, or a tenant's
+/// quota that is exhausted.
 struct RolloutNote {
   /// "configuration_committed", "configuration_acknowledged", "configuration_in_force",
-  /// "router_behind", "router_caught_up" or "quota_used_up", which names its tenant in `inputs` and
-  /// nothing of a configuration.
+  /// "router_behind", "router_caught_up" or "quota_used_up". The last one names its tenant in
+  /// `inputs` and has no configuration.
   std::string_view what;
   traffic::ConfigurationVersion configuration;
-  std::uint64_t version = 0;  ///< Log index of the traffic state that first has the change.
-  RouterId router;            ///< The one that it is about, if any.
-  std::string inputs;         ///< How long it took, in short sentences.
+  std::uint64_t version = 0;  ///< Log index of the first traffic state that contains the change.
+  RouterId router;            ///< The router concerned, if any.
+  std::string inputs;         ///< Durations and other details, in short sentences.
 };
 
 }  // namespace graniteseam::control
--- a/include/graniteseam/control/router_messages.h
+++ b/include/graniteseam/control/router_messages.h
@@ -1,6 +1,7 @@
 /// @file
-/// Messages between routers and control processes. One framed connection a router; each message is
-/// Avro-encoded (docs/design/internal-protocol.md). Durations in microseconds unless named.
+/// Messages between routers and control processes. Each router has one framed connection; messages
+/// are Avro-encoded (docs/design/internal-protocol.md). Durations are in microseconds unless the
+/// name has another unit.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -19,23 +20,25 @@
 
 namespace graniteseam::control {
 
-/// A server as routers see it.
+/// A server's entry in the routing table.
 struct ServerEntry {
   ServerId id;
   ServiceName service;
   std::string address;  ///< "ip:port" of its HTTP port.
   ZoneName zone;
-  bool accepts_new_work = true;  ///< False while it is leaving, drained, or without a lease.
+  bool accepts_new_work = true;  ///< False while it is leaving, draining or without a lease.
   double load_hint = 0.0;
 
   bool operator==(const ServerEntry&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(ServerEntry, (), (id, service, address, zone, accepts_new_work, load_hint))
 
+/// The ownership state of a shard.
 enum class ShardState { kUnassigned, kAssigned, kMoving };
 BOOST_DESCRIBE_ENUM(ShardState, kUnassigned, kAssigned, kMoving)
 
-/// One shard of the map. While moving, `owner` is still the old owner; routers hold new requests.
+/// A shard's entry in the routing table. While it is moving, `owner` is the old owner and routers
+/// hold new requests.
 struct ShardEntry {
   ShardId shard;
   ShardState state = ShardState::kUnassigned;
@@ -46,7 +49,8 @@
 };
 BOOST_DESCRIBE_STRUCT(ShardEntry, (), (shard, state, owner, epoch))
 
-/// The routing table's change from `base_version` to `version`; a whole table when base is 0.
+/// The changes of the routing table from `base_version` to `version`; a complete table when
+/// `base_version` is 0.
 struct MapUpdate {
   std::uint64_t base_version = 0;
   std::uint64_t version = 0;
@@ -67,7 +71,7 @@
 BOOST_DESCRIBE_STRUCT(GroupDemand, (),
                       (group, service, offered_per_second, concurrency_wanted, concurrency_used))
 
-/// Requests a shard got through one router since its last renewal.
+/// A shard's load through one router since the router's last renewal.
 struct ShardLoad {
   ShardId shard;
   double requests = 0;
@@ -75,7 +79,7 @@
 };
 BOOST_DESCRIBE_STRUCT(ShardLoad, (), (shard, requests, busy_us))
 
-/// What one group may have in flight at one service through one router.
+/// The maximum concurrency of one group at one service through one router.
 struct Allotment {
   GroupName group;
   ServiceName service;
@@ -83,19 +87,21 @@
 };
 BOOST_DESCRIBE_STRUCT(Allotment, (), (group, service, concurrency))
 
-/// The concurrent requests that a service's servers take from this router, as its concurrency
-/// windows found out. The sum over routers is the capacity that allotments divide.
+/// The number of concurrent requests that a service's servers accept from this router, as estimated
+/// by its concurrency windows. The sum over all routers is the capacity that allotments divide.
 struct ServiceCapacity {
   ServiceName service;
   double concurrency = 0;
 };
 BOOST_DESCRIBE_STRUCT(ServiceCapacity, (), (service, concurrency))
 
+/// A router's request to renew its lease, with its load reports.
 struct RouterRenewal {
   RouterId router;
   ZoneName zone;
-  std::uint64_t sequence = 0;    ///< Echoed; the router dates its lease from the send.
-  BundleVersion bundle_version;  ///< The version in force in this router; 0 for none.
+  std::uint64_t sequence = 0;    ///< Echoed in the answer; the router counts its lease from the
+                                 ///< time when it sent this sequence number.
+  BundleVersion bundle_version;  ///< The bundle version in force in this router; 0 for none.
   std::uint64_t map_version = 0;
   bool leaving = false;
   std::vector<GroupDemand> demand;
@@ -106,11 +112,12 @@
                       (router, zone, sequence, bundle_version, map_version, leaving, demand,
                        shard_load, capacity))
 
+/// The answer to a RouterRenewal.
 struct RouterRenewalAnswer {
   std::uint64_t sequence = 0;
-  bool granted = false;       ///< False when the router's bundle is not the newest; `bundle`
-                              ///< then carries it and the router renews again at once.
-  std::int64_t lease_us = 0;  ///< Counted from the router's send of this sequence.
+  bool granted = false;       ///< False when the router's bundle is not the newest. `bundle` then
+                              ///< contains the newest one, and the router renews again at once.
+  std::int64_t lease_us = 0;  ///< Counted from the time when the router sent this sequence number.
   std::optional<bundle::Bundle> bundle;
   std::string bundle_digest;
   std::optional<MapUpdate> map;
@@ -127,7 +134,7 @@
 using operation::KeptAnswer;
 using operation::kKeptBodyBytesMaximum;
 
-/// A batch of journal work from one router.
+/// A batch of operation journal claims and completions of one router.
 struct JournalRequest {
   RouterId router;
   std::uint64_t sequence = 0;
@@ -136,13 +143,15 @@
 };
 BOOST_DESCRIBE_STRUCT(JournalRequest, (), (router, sequence, claims, completions))
 
+/// The results of a JournalRequest's claims.
 struct JournalAnswer {
   std::uint64_t sequence = 0;
   std::vector<ClaimResult> results;
 };
 BOOST_DESCRIBE_STRUCT(JournalAnswer, (), (sequence, results))
 
-/// The receiver does not lead; try `leader_address` ("ip:port") when it is not empty.
+/// The receiver is not the leader. The sender may retry at `leader_address` ("ip:port") unless it
+/// is empty.
 struct NotLeaderAnswer {
   std::uint64_t sequence = 0;
   std::string leader_address;
--- a/include/graniteseam/control/traffic_options.h
+++ b/include/graniteseam/control/traffic_options.h
@@ -1,5 +1,5 @@
 /// @file
-/// Tunables of a control group's care for key ranges, instances and its own membership.
+/// Settings for the management of key ranges, instances, quotas and the control group's membership.
 #pragma once
 
 #include <cstddef>
@@ -8,56 +8,70 @@
 
 namespace graniteseam::control {
 
+/// Timing of grants, releases and leases of key ranges.
 struct RangeOptions {
   Duration hold{3'000'000};              ///< Length of a grant.
   Duration renewal_interval{1'000'000};  ///< Between two renewals of a grant.
-  Duration grant_limit{400'000};         ///< How long a grant's answer is awaited.
-  Duration release_limit{3'000'000};     ///< The same of a release, which waits for work to end.
-  Duration retry_interval{150'000};      ///< After an order that failed.
-  /// From an order's decision until it is sent, or not at all. A new leader waits for so much
-  /// longer, since a former one may have decided orders until its lease was over. Longer than a
-  /// leader takes to send the orders to all owners at once.
+  Duration grant_limit{400'000};         ///< Timeout of a grant order.
+  Duration release_limit{3'000'000};     ///< Timeout of a release order, which is answered only
+                                         ///< when the work in progress has ended.
+  Duration retry_interval{150'000};      ///< Delay before a failed order is retried.
+  /// Time from the decision of an order within which it is sent; after that it is dropped. A new
+  /// leader waits this much longer, because the previous leader may have decided orders until the
+  /// end of its lease. Must be longer than a leader needs to send orders to all owners at once.
   Duration order_send_timeout{500'000};
-  Duration settling{1'500'000};            ///< Of registrations before keys are first given out.
-  double clock_drift_bound = 0.02;         ///< By which an instance's clock may run slow.
-  Duration unresponsive_after{1'000'000};  ///< Of orders that failed, to give up on an owner.
-  Duration transit_slack{50'000};          ///< Added to the end of each grant.
-  /// Length of a lease by heartbeat. An instance's crash leaves its keys without an owner for as
-  /// long; a leader's loss takes up to 3 s until all instances have found the next one (a
-  /// heartbeat's interval, a call that is not answered for a second, an election). Measured: 2.5 s
-  /// is worse than 3 s, 4 s is better; docs/MEASURED-DECISIONS.md.
+  Duration settling{1'500'000};            ///< Time in which instances may register before keys are
+                                           ///< assigned for the first time.
+  double clock_drift_bound = 0.02;         ///< Maximum relative rate by which an instance's clock
+                                           ///< may run slow.
+  Duration unresponsive_after{1'000'000};  ///< Duration of failing orders after which an owner is
+                                           ///< considered unresponsive.
+  Duration transit_slack{50'000};          ///< Network transit allowance added to the end of each
+                                           ///< grant.
+  /// Length of a lease by heartbeat. After an instance's crash its keys have no owner for this
+  /// long. After the loss of a leader it takes up to 3 s until all instances have found the next
+  /// one (a heartbeat interval, a call that times out after 1 s, an election), so the lease must
+  /// outlast that: in measurements 2.5 s performed worse than 3 s, and 4 s performed better; see
+  /// docs/MEASURED-DECISIONS.md.
   Duration lease_length{4'000'000};
-  /// By heartbeat: within this an instance comes for keys that were assigned to it. Two intervals
-  /// of heartbeats (0.9 s on the deployments so far) and some time for one that is late.
+  /// Leases by heartbeat: time within which an instance must send a heartbeat for newly assigned
+  /// keys. Covers two heartbeat intervals (0.9 s in current deployments) and a late heartbeat.
   Duration lease_pickup{2'000'000};
-  /// Gives no keys to an instance that warms up, as long as there are others: it falls over under a
-  /// load that it bears when warm, and all gateways send it what its keys get.
+  /// Assigns no keys to instances that are warming up while others are available. A cold instance
+  /// fails under a load that it can handle when warm, and all gateways send it the full load of its
+  /// keys.
   bool excludes_warming_up = false;
-  /// Within this an instance takes the answer to a heartbeat; one that comes later is not used.
+  /// Time within which an instance accepts the answer to a heartbeat; it discards later answers.
   Duration answer_acceptance_window{1'200'000};
 };
 
-/// What tenants may send beyond their quotas in any window: the shares that routers have are worked
-/// out within it. The users' bounds.
+/// Limits on what tenants may send beyond their quotas in any window. Router shares are
+/// recalculated within a window. The values are the users' requirements.
 struct QuotaOptions {
   Duration window{5'000'000};
-  double overshoot = 0;  ///< Part of what the quota allows in a window.
-  double slack = 0;      ///< Requests.
+  double overshoot = 0;  ///< Allowed excess as a fraction of the quota of a window.
+  double slack = 0;      ///< Allowed excess in requests.
 };
 
+/// Settings of the leader's traffic management.
 struct TrafficOptions {
   QuotaOptions quotas;
   RangeOptions ranges;
-  /// An instance that sent no heartbeat for so long gets nothing new.
+  /// Time without a heartbeat after which an instance is unreachable and gets no new work.
   Duration instance_timeout{4'000'000};
-  /// The driver tells when pushes have left the process, and the next ones wait for it.
+  /// Whether the driver reports when broadcasts have been sent. The next broadcast then waits for
+  /// this report.
   bool reports_push_completion = false;
 };
 
+/// Settings of the automatic repair of the control group's membership.
 struct MembershipRepairOptions {
   bool enabled = false;
-  std::size_t voters = 3;             ///< Wanted; more machines are learners in reserve.
-  Duration replace_after{6'000'000};  ///< Silence after which a reserve takes a voter's place.
+  std::size_t voters = 3;             ///< Target number of voters; further members are learners in
+                                      ///< reserve.
+  Duration replace_after{6'000'000};  ///< Time without an answer after which a learner replaces a
+                                      ///< voter.
+  /// Time without an answer after which a learner is removed.
   Duration remove_learner_after{30'000'000};
 };
 
