--- a/src/control/commands.cc
+++ b/src/control/commands.cc
@@ -9,11 +9,12 @@
 std::string EncodeCommand(const CommandBody& body) { return codec::Encode(Command{body}); }
 
 Result<CommandBody> DecodeCommand(std::string_view payload) {
-  const auto whole = Attempt([&] { return codec::Decode<Command>(payload); });
-  if (ErrorOf(whole) == nullptr) return std::get<Command>(whole).body;
-  // Releases that knew no tenants end a change of the configuration where these begin.
-  const std::string no_tenants = codec::Encode(traffic::TenancyChange{});
-  BOOST_LEAF_AUTO(command, codec::Decode<Command>(std::string(payload) + no_tenants));
+  const auto decoded = Attempt([&] { return codec::Decode<Command>(payload); });
+  if (ErrorOf(decoded) == nullptr) return std::get<Command>(decoded).body;
+  // Earlier releases, without tenants, encoded ConfigurationChange without the tenancy fields.
+  // Those are last, so appending the encoding of an empty tenancy change completes such an entry.
+  const std::string empty_tenancy = codec::Encode(traffic::TenancyChange{});
+  BOOST_LEAF_AUTO(command, codec::Decode<Command>(std::string(payload) + empty_tenancy));
   return std::move(command.body);
 }
 
--- a/src/control/commands.h
+++ b/src/control/commands.h
@@ -1,6 +1,6 @@
 /// @file
-/// What the replicated log carries: the commands of a control group. A branch or field, once
-/// landed, keeps its place; new ones go at the end.
+/// The commands in a control group's replicated log. The position of a released variant alternative
+/// or field must not change; new ones are appended at the end.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -18,6 +18,7 @@
 
 namespace graniteseam::control {
 
+/// Stores a submitted bundle.
 struct SubmitBundleCommand {
   bundle::Bundle bundle;
   std::string digest;
@@ -25,15 +26,16 @@
 };
 BOOST_DESCRIBE_STRUCT(SubmitBundleCommand, (), (bundle, digest, source_text))
 
+/// Puts a stored bundle in force.
 struct RollBundleCommand {
   BundleVersion version;
   std::string digest;
 };
 BOOST_DESCRIBE_STRUCT(RollBundleCommand, (), (version, digest))
 
-/// Makes an incarnation of a server the only one that may be granted anything. Its proposer knows
-/// that the lease of an earlier incarnation is over. Shards that the server still owns come back to
-/// it, or go to their move's target, at a higher epoch.
+/// Makes an incarnation of a server the only one that may be granted leases. The proposer must have
+/// established that the lease of any earlier incarnation has expired. Shards that the server still
+/// owns are reassigned to it, or to the target of their planned move, at a higher epoch.
 struct RegisterServerCommand {
   ServerId server;
   ServiceName service;
@@ -43,7 +45,7 @@
 };
 BOOST_DESCRIBE_STRUCT(RegisterServerCommand, (), (server, service, address, zone, incarnation))
 
-/// A server's lease ran out: its shards go to others at once, as far as `assignments` name them.
+/// Records that a server's lease expired. Its shards named in `assignments` are reassigned at once.
 struct LoseServerCommand {
   ServerId server;
   Incarnation incarnation;
@@ -51,30 +53,34 @@
 };
 BOOST_DESCRIBE_STRUCT(LoseServerCommand, (), (server, incarnation, assignments))
 
-/// Gives shards to servers: unassigned ones, or ones that their owner released.
+/// Assigns shards that are unassigned or have been released by their owner.
 struct AssignShardsCommand {
   std::vector<placement::Assignment> assignments;
 };
 BOOST_DESCRIBE_STRUCT(AssignShardsCommand, (), (assignments))
 
+/// Begins planned moves of shards.
 struct BeginMovesCommand {
   std::vector<placement::PlannedMove> moves;
 };
 BOOST_DESCRIBE_STRUCT(BeginMovesCommand, (), (moves))
 
+/// Sets whether an operator drains a server.
 struct SetDrainingCommand {
   ServerId server;
   bool draining = false;
 };
 BOOST_DESCRIBE_STRUCT(SetDrainingCommand, (), (server, draining))
 
+/// Sets whether the platform is about to remove a server.
 struct SetLeavingCommand {
   ServerId server;
   bool leaving = false;
 };
 BOOST_DESCRIBE_STRUCT(SetLeavingCommand, (), (server, leaving))
 
-/// A batch of journal work. `wall_ms` is the proposer's clock: milliseconds since 1970.
+/// A batch of operation journal claims and completions. `wall_ms` is the proposer's clock in
+/// milliseconds since 1970.
 struct JournalCommand {
   std::int64_t wall_ms = 0;
   std::vector<operation::ClaimRequest> claims;
@@ -82,13 +88,14 @@
 };
 BOOST_DESCRIBE_STRUCT(JournalCommand, (), (wall_ms, claims, completions))
 
-/// Forgets operations that are older than their service's retention window.
+/// Removes journal entries that are older than their service's retention window. `wall_ms` as in
+/// JournalCommand.
 struct ExpireJournalCommand {
   std::int64_t wall_ms = 0;
 };
 BOOST_DESCRIBE_STRUCT(ExpireJournalCommand, (), (wall_ms))
 
-/// Forgets a server that holds no lease and no shards, and that will not come back.
+/// Removes a server that holds no lease and no shards and will not return.
 struct RemoveServerCommand {
   ServerId server;
 };
@@ -100,18 +107,19 @@
 };
 BOOST_DESCRIBE_STRUCT(ChangeConfigurationCommand, (), (change))
 
-/// Heartbeats that tell something new.
+/// Records the heartbeats that change the registered state of their instances.
 struct ReportInstancesCommand {
   std::vector<traffic::InstanceReport> reports;
 };
 BOOST_DESCRIBE_STRUCT(ReportInstancesCommand, (), (reports))
 
+/// Removes an instance from service.
 struct DeregisterInstanceCommand {
   traffic::InstanceId instance;
 };
 BOOST_DESCRIBE_STRUCT(DeregisterInstanceCommand, (), (instance))
 
-/// Gives spans of keys to instances.
+/// Assigns key spans to instances.
 struct AssignRangesCommand {
   std::vector<traffic::RangeAssignment> assignments;
 };
@@ -123,25 +131,25 @@
 };
 BOOST_DESCRIBE_STRUCT(ReleaseRangesCommand, (), (releases))
 
-/// Owners confirmed their grants: routers may send to them.
+/// Records that owners confirmed their grants, so that routers may send to them.
 struct ConfirmRangesCommand {
   std::vector<traffic::RangeConfirmation> confirmations;
 };
 BOOST_DESCRIBE_STRUCT(ConfirmRangesCommand, (), (confirmations))
 
-/// Instances ended under these requests.
+/// Records requests under which instances terminated.
 struct RecordSuspectsCommand {
   std::vector<traffic::SuspectRequest> suspects;
 };
 BOOST_DESCRIBE_STRUCT(RecordSuspectsCommand, (), (suspects))
 
-/// These requests are suspected no more: they were answered, or are forgotten.
+/// Clears suspected requests that were answered or whose retention has ended.
 struct ClearSuspectsCommand {
   std::vector<traffic::RequestDigest> digests;
 };
 BOOST_DESCRIBE_STRUCT(ClearSuspectsCommand, (), (digests))
 
-/// An operator drains a zone, or takes it back.
+/// Sets whether an operator drains a zone.
 struct DrainZoneCommand {
   ZoneName zone;
   bool drained = false;
@@ -157,13 +165,16 @@
                  ConfirmRangesCommand, RecordSuspectsCommand, ClearSuspectsCommand,
                  DrainZoneCommand>;
 
+/// A log entry's payload. The struct around the variant makes it an Avro record.
 struct Command {
   CommandBody body;
 };
 BOOST_DESCRIBE_STRUCT(Command, (), (body))
 
-/// The bytes of a log entry's payload.
+/// Encodes the payload of a log entry.
 std::string EncodeCommand(const CommandBody& body);
+/// Decodes the payload of a log entry, also one written by a release without tenants.
+/// @return an error for a payload that does not decode.
 Result<CommandBody> DecodeCommand(std::string_view payload);
 
 }  // namespace graniteseam::control
--- a/src/control/configuration_rollout.cc
+++ b/src/control/configuration_rollout.cc
@@ -8,28 +8,31 @@
 namespace graniteseam::control {
 namespace {
 
-/// A router that has not told of a change for so long after its commit is noted as behind. Twice
-/// the interval of polls.
+/// A router that has not reported a change this long after its commit is recorded as behind. Twice
+/// the poll interval.
 constexpr Duration kBehindAfter{1'000'000};
-/// A router that was not heard of for longer is not counted: it is gone, or cut off.
+/// A router without a poll for longer counts as gone or cut off.
 constexpr Duration kReachableWithin{2'000'000};
-/// An acknowledgement waits for routers at most so long after the commit. Operators move on after a
-/// second of silence, and a group that is short of processor time needs a part of it to commit.
+/// Longest wait of an acknowledgement after the commit. Operators fail over to another process
+/// after one second without an answer, and a group short of processor time needs part of that
+/// second to commit.
 constexpr Duration kAcknowledgementWaitMaximum{500'000};
-/// A router that was not heard of for longer is not waited for. Two polls and some time for one
-/// that is late.
+/// Acknowledgements do not wait for a router without a poll for longer. Allows two polls and a
+/// delay of one of them.
 constexpr Duration kAwaitedIfPolledWithin{1'200'000};
-/// By then a new leader has heard of the routers that are there: an interval of polls and a turn.
+/// Time until all running routers have polled a new leader: one poll interval and a round trip.
 constexpr Duration kLeaderDiscoveryTime{500'000};
-/// Changes that are followed at once; older ones are forgotten unnoted.
+/// Maximum number of changes tracked at once; the oldest one is dropped without a record.
 constexpr std::size_t kChangesInProgressMaximum = 64;
-/// Routers that are remembered. A machine that comes under another name adds one.
+/// Maximum number of tracked routers. A machine that returns under another name adds one.
 constexpr std::size_t kRoutersMaximum = 16'384;
-/// Routers that one look notes as behind; with hundreds of them the first tell as much as all.
+/// Maximum number of routers recorded as behind by one check. With hundreds of lagging routers,
+/// further records add no information.
 constexpr int kRoutersReportedPerCheckMaximum = 16;
-/// While an acknowledgement waits: a router that was not heard of for long is not waited for.
+/// Interval of checks while acknowledgements are pending, which detect awaited routers that have
+/// stopped polling.
 constexpr Duration kAcknowledgementCheckInterval{50'000};
-/// Of looking at one router.
+/// Assumed time to examine one router.
 constexpr Duration kCheckTimePerRouter{1};
 
 }  // namespace
@@ -116,7 +119,7 @@
   if (router.reported_behind && !IsBehind(router, now)) {
     router.reported_behind = false;
     notes_.push_back(
-        {"router_caught_up", {}, version, id, "not heard for " + InMs(silence) + " before"});
+        {"router_caught_up", {}, version, id, "no poll for " + InMs(silence) + " before"});
   }
   const bool reached = !changes_in_progress_.empty() &&
                        before < changes_in_progress_.front().version &&
@@ -134,7 +137,7 @@
       ++noted;
     }
   }
-  // A router that the last changes waited for may be gone.
+  // A router that the changes in progress wait for may be gone.
   CompleteChanges({}, now);
   ScheduleRouterCheck(now);
 }
@@ -162,14 +165,14 @@
 
 Instant ConfigurationRollout::NextDue() const {
   Instant due = router_check_due_;
-  const Instant found = start_ + kLeaderDiscoveryTime;
+  const Instant discovery_end = start_ + kLeaderDiscoveryTime;
   if (!held_.empty())
     due = std::min(
         due, std::max(acknowledgement_check_due_, checked_at_ + kAcknowledgementCheckInterval));
   for (const Held& held : held_) {
     due = std::min(due, held.until);
-    // Without word of any router nothing else wakes it.
-    if (checked_at_ < found) due = std::min(due, found);
+    // This deadline must be scheduled, since without polls nothing else triggers a check.
+    if (checked_at_ < discovery_end) due = std::min(due, discovery_end);
   }
   return due;
 }
@@ -191,7 +194,7 @@
       std::find_if(changes_in_progress_.begin(), changes_in_progress_.end(),
                    [&](const Change& open) { return open.version > router.version; });
   Note("router_behind", *change, id,
-       "told version " + std::to_string(router.version) + ", heard " +
+       "reported version " + std::to_string(router.version) + ", last poll " +
            InMs(now - router.last_poll_at) + " ago, committed " + InMs(now - change->committed) +
            " ago");
 }
--- a/src/control/configuration_rollout.h
+++ b/src/control/configuration_rollout.h
@@ -1,6 +1,6 @@
 /// @file
-/// How far each router has come with the changes of the configuration, and when their operators are
-/// told.
+/// Tracks which routers have applied each configuration change and decides when the change is
+/// acknowledged to its operator.
 #pragma once
 
 #include <cstdint>
@@ -17,58 +17,60 @@
 
 namespace graniteseam::control {
 
-/// Follows each change from its commit until every router that is heard of has told, by a poll,
-/// that it has it. Its notes tell by which step a router is behind: what was committed, what was
-/// sent to it, what it told and when it was heard; the router's own log has when it received and
-/// applied a change. Volume: three lines a change, and two for each span in which a router is
-/// behind.
+/// Tracks each change from its commit until every reachable router has reported in a poll that it
+/// has applied it. The event log records show at which step a router lags: what was committed, what
+/// was sent to it, what it reported and when it last polled; the router's own log has when it
+/// received and applied a change. Volume: three records per change, and two for each period in
+/// which a router is behind.
 ///
-/// Invariant: an acknowledgement leaves when every router that is heard of has told that it has the
-/// change, or 0.5 s after its commit. The users count from the acknowledgement until a change is to
-/// be in force at all routers in touch; an acknowledgement at the commit was tied to no router, so
-/// that whatever made one late made the word untrue. A router that misses the limit is not waited
-/// for again before it told that it has caught up: one that is cut off, and rightly serves on,
-/// costs one change 0.5 s and not each.
+/// Invariant: an acknowledgement is sent when every reachable router has reported that it has the
+/// change, or 0.5 s after the commit. The users measure from the acknowledgement until a change
+/// must be in force at all connected routers; acknowledging at the commit would not depend on any
+/// router, so any delay of a router would break that guarantee. A router that misses the limit is
+/// not awaited again until it reports that it has caught up: a router that is cut off, and rightly
+/// continues to serve, delays one change by 0.5 s instead of every change.
 ///
-/// A poll costs the same however many routers there are: all of them are looked at only when one
-/// has reached a change, and for acknowledgements that wait, at intervals that grow with their
-/// number.
+/// The cost of a poll does not depend on the number of routers. All routers are examined only when
+/// one has reached a change and, while acknowledgements are pending, at intervals that grow with
+/// the number of routers.
 ///
-/// Lives as long as one leadership. Bounded; not thread safe; `now` never goes back.
+/// Exists for one leadership. Bounded; not thread safe; `now` must not decrease.
 class ConfigurationRollout {
  public:
-  /// @param now the start of the leadership: routers take a moment to find it.
+  /// @param now the start of the leadership; routers need some time to find the new leader.
   explicit ConfigurationRollout(Instant now) : start_(now) {}
 
-  /// Holds the acknowledgement of a change. One that was sent again waits no longer than the first:
-  /// its operator asks again each second.
-  /// @param version of the newest change, as RecordCommit() was told, or an earlier leader.
+  /// Holds the acknowledgement of a change. A request that is resent waits no longer than the first
+  /// one, since operators resend once a second.
+  /// @param version the version of the newest change, as passed to RecordCommit() here or on an
+  /// earlier leader.
   void HoldAcknowledgement(std::uint64_t request, std::uint64_t version);
-  /// An acknowledgement that is to leave.
+  /// An acknowledgement that is due.
   struct Due {
     std::uint64_t request = 0;
     std::uint64_t version = 0;
   };
+  /// Removes and returns the acknowledgements that are due.
   std::vector<Due> TakeDue(Instant now);
-  /// Takes out all requests that are held, at the end of the leadership.
+  /// Removes and returns all held requests, at the end of the leadership.
   std::vector<std::uint64_t> TakeHeld();
 
-  /// A change was committed and applied here.
-  /// @param version of the traffic state that first has it.
+  /// Records that a change was committed and applied by this process.
+  /// @param version log index of the first traffic state that contains it.
   void RecordCommit(traffic::ConfigurationVersion configuration, std::uint64_t version,
                     Instant now);
-  /// A router told by a poll which version it has.
+  /// Records the state version that a router reported in a poll.
   void RecordPoll(const RouterId& router, std::uint64_t version, Instant now);
 
-  /// Looks for routers that are behind.
+  /// Detects routers that are behind.
   void Evaluate(Instant now);
-  /// When Evaluate() may find a router that is behind, or TakeDue() an acknowledgement.
+  /// When Evaluate() or TakeDue() must be called next.
   Instant NextDue() const;
 
-  /// What happened since the last call.
+  /// Event log records since the last call.
   std::vector<RolloutNote> TakeNotes() { return std::exchange(notes_, {}); }
 
-  /// Routers looked at so far, each as often as it was.
+  /// Number of routers examined so far, counted once per examination.
   std::uint64_t looks() const { return evaluations_; }
 
  private:
@@ -78,10 +80,10 @@
     Instant committed;
   };
   struct Router {
-    std::uint64_t version = 0;  ///< As it told.
+    std::uint64_t version = 0;  ///< As last reported.
     Instant last_poll_at{};
     bool reported_behind = false;
-    bool awaited = true;  ///< Before acknowledgements leave.
+    bool awaited = true;  ///< Whether acknowledgements wait for this router.
   };
   struct Held {
     std::uint64_t request = 0;
@@ -91,16 +93,17 @@
 
   void ScheduleRouterCheck(Instant now);
   bool IsAwaited(const Router& router, std::uint64_t version, Instant now) const;
-  /// Whether nobody is to be waited for any more.
+  /// Whether all awaited routers have the change.
   bool IsReadyToAcknowledge(const Held& held, Instant now) const;
-  /// The same, but not at each poll: asked again when as much time went by as a look takes.
+  /// Limits the rate of checks: returns true, and starts the next interval, once as much time has
+  /// passed as a check takes.
   bool BeginCheck(Instant now);
-  /// Notes the routers that an acknowledgement did not wait for to the end.
+  /// Marks the routers for which an acknowledgement waited in vain as no longer awaited.
   void StopAwaiting(const Held& held, Instant now);
   void NoteAcknowledged(const Held& held, Instant now);
   bool IsBehind(const Router& router, Instant now) const;
   void NoteBehind(const RouterId& id, Router& router, Instant now);
-  /// Ends the changes that every router which is heard of has.
+  /// Completes the changes that all reachable routers have applied.
   void CompleteChanges(const RouterId& last, Instant now);
   bool IsReachable(const Router& router, Instant now) const;
   void Note(std::string_view what, const Change& change, RouterId router, std::string inputs);
@@ -110,9 +113,9 @@
   Instant checked_at_{};  ///< By TakeDue().
   Instant acknowledgement_check_due_{};
   mutable std::uint64_t evaluations_ = 0;
-  std::vector<Held> held_;  ///< In the order of their commits.
-  std::deque<Change>
-      changes_in_progress_;  ///< In the order of their commits; not yet in force everywhere.
+  std::vector<Held> held_;  ///< In commit order.
+  /// Not yet in force on all routers; in commit order.
+  std::deque<Change> changes_in_progress_;
   std::map<RouterId, Router> routers_;
   Instant router_check_due_ = Instant::max();
   std::vector<RolloutNote> notes_;
--- a/src/control/control_node_impl.cc
+++ b/src/control/control_node_impl.cc
@@ -11,8 +11,9 @@
 
 namespace {
 
-/// How often old operations are forgotten.
+/// Interval at which the expiry of journal entries is proposed.
 constexpr Duration kJournalExpiryInterval{10'000'000};
+/// Interval of membership repair checks.
 constexpr Duration kMembershipCheckInterval{200'000};
 
 OwnershipOptions OwnershipOptionsOf(const ControlOptions& options) {
@@ -59,8 +60,8 @@
   if (!leadership_ || stopping_) return next;
   Instant due = std::min(leadership_->ownership.NextDue(), journal_expiry_due_);
   due = std::min(due, leadership_->traffic.NextDue());
-  // Without the leader lease nothing may be done about it, and what renews the lease is a peer's
-  // message: waking for it would only spin.
+  // Without the leader lease these duties can't run, and only a peer's message renews it. Waking up
+  // for them earlier would be a busy loop.
   const Instant at = std::max(due, last_entry_at_);
   return at < consensus_.leader_lease_end() ? std::min(next, due) : next;
 }
@@ -82,7 +83,7 @@
 
 ControlEffects ControlNode::Impl::OnServerAnswer(const lease::LeaseAnswer& answer, Instant now) {
   UpdateRole(now);
-  // A reading that arrives after the leader lease ended may be younger than the next leader's
+  // An answer that arrives after the leader lease ended may be newer than the next leader's
   // election, so it must not be used.
   if (Leading(now) && leadership_) leadership_->ownership.TakeAnswer(answer, now);
   return Finish(now);
@@ -137,8 +138,8 @@
 
 ControlEffects ControlNode::Impl::OnRangeOrderResult(const RangeOrderResult& result, Instant now) {
   UpdateRole(now);
-  // Taken without the leader lease too: it tells what an instance did, and the range it is about
-  // would wait for it for ever. What follows from it is decided with the lease only.
+  // Also accepted without the leader lease: the result states what an instance did, and the range
+  // would otherwise wait for it forever. Decisions that follow from it still need the lease.
   if (leadership_) leadership_->traffic.ranges().TakeResult(result, now);
   return Finish(now);
 }
@@ -191,14 +192,14 @@
         std::min(merged.truncate_from.value_or(*persist.truncate_from), *persist.truncate_from);
   }
   std::move(persist.entries.begin(), persist.entries.end(), std::back_inserter(merged.entries));
-  // Whoever confirms a sequence confirms all before it.
+  // Confirming a sequence number confirms all earlier ones.
   merged.sequence = persist.sequence;
 }
 
 void ControlNode::Impl::RestoreState(const consensus::Snapshot& snapshot) {
   const auto restored = Attempt([&] { return state_.Restore(snapshot.data); });
-  // Storage has checked the snapshot's checksum, so a state that does not decode was written by
-  // another program version. Going on with a part of it would break what was accepted.
+  // Storage has verified the snapshot's checksum, so a state that does not decode was written by
+  // another program version. Continuing with part of it would violate accepted operations.
   if (ErrorOf(restored) != nullptr) std::abort();
   compacted_index_ = snapshot.last_index;
 }
@@ -300,15 +301,16 @@
   }
   leadership_.reset();
   for (const Deferred& deferred : deferred_.TakeAll()) {
-    if (const auto* asked = std::get_if<DeferredOperatorRequest>(&deferred)) {
-      Reply(asked->request, NotLeaderError());
+    if (const auto* deferred_request = std::get_if<DeferredOperatorRequest>(&deferred)) {
+      Reply(deferred_request->request, NotLeaderError());
     } else {
       const auto& poll = std::get<DeferredPoll>(deferred);
       SendNotLeader(poll.connection, poll.poll.sequence);
     }
   }
-  // Whether these entries will be committed is not known here, and of changes that are, whether
-  // routers have them. Each request may be resent, so its sender finds out by doing so.
+  // It is unknown whether these entries will be committed and, for committed configuration changes,
+  // whether routers have applied them. Requests are safe to resend, so the sender learns the
+  // outcome by resending.
   for (const auto& waiter : pending_.TakeAll()) {
     if (const auto* router = std::get_if<WaitingRouter>(&waiter)) {
       SendNotLeader(router->connection, router->sequence);
@@ -331,7 +333,7 @@
   for (auto& [address, request] : leadership_->ownership.Sends(now)) {
     effects_.lease_sends.push_back({std::move(address), std::move(request)});
   }
-  // What Sends() found to be over is decided at once.
+  // Decides at once on the leases that Sends() found to have expired.
   ProposeDecisions(leadership_->ownership, now);
   if (!leadership_) return;
   for (auto& [connection, answer] : leadership_->routers.Push(now)) {
@@ -369,7 +371,7 @@
   const auto next = NextMembership(options_.membership, view);
   if (!next) return;
   consensus::Effects effects;
-  // Refused while an earlier change is not committed: the next look finds what is left to do.
+  // Consensus refuses the change while an earlier one is uncommitted; the next check repeats it.
   static_cast<void>(Attempt([&] { return consensus_.ProposeMembership(*next, now, effects); }));
   HandleConsensusEffects(std::move(effects), now);
 }
@@ -381,7 +383,7 @@
   const auto first = Propose(commands, now);
   if (!leadership_) return;
   if (!first) {
-    // The decisions are lost with the decider; a new one takes everything as renewed now.
+    // The decider's pending decisions are lost. A new one treats all leases as renewed now.
     EndLeadership();
     return;
   }
@@ -391,8 +393,8 @@
 void ControlNode::Impl::ProcessDeferred(Instant now) {
   if (deferred_.empty() || !leadership_ || !Leading(now)) return;
   for (const Deferred& deferred : deferred_.TakeAll()) {
-    if (const auto* asked = std::get_if<DeferredOperatorRequest>(&deferred)) {
-      TakeRequest(asked->request, asked->command, now);
+    if (const auto* deferred_request = std::get_if<DeferredOperatorRequest>(&deferred)) {
+      TakeRequest(deferred_request->request, deferred_request->command, now);
     } else {
       const auto& poll = std::get<DeferredPoll>(deferred);
       OnTrafficPoll(poll.connection, poll.poll, now);
--- a/src/control/control_node_impl.h
+++ b/src/control/control_node_impl.h
@@ -1,5 +1,5 @@
 /// @file
-/// The insides of ControlNode: joins consensus, replicated state and the leader's duties.
+/// The implementation of ControlNode: connects consensus, replicated state and the leader's duties.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
 
 namespace graniteseam::control {
 
-/// Each entry point collects effects in `effects_` and hands them out with Finish(). The leader's
+/// Each entry point collects effects in `effects_` and returns them with Finish(). The leader's
 /// duties run at the end of each entry point, and only while Leading().
 class ControlNode::Impl {
  public:
@@ -49,7 +49,7 @@
   std::uint64_t decision_evaluations() const;
 
  private:
-  /// Everything that is known only to an established leader in one term.
+  /// State that only an established leader has, for one term.
   struct Leadership {
     Leadership(const ControlOptions& options, const ReplicatedState& state, Term in_term,
                std::uint64_t numbers_used, OrderNumber orders_used, std::uint64_t pushes_used,
@@ -62,29 +62,34 @@
   };
 
   // Consensus.
+  /// Collects the effects of a consensus call, applies committed entries and updates the role.
   void HandleConsensusEffects(consensus::Effects effects, Instant now);
   void MergePersist(consensus::PersistRequest persist);
   void RestoreState(const consensus::Snapshot& snapshot);
   void ApplyEntry(const consensus::LogEntry& entry, Instant now);
+  /// Answers the request, if any, that waits for this entry.
   void AnswerWaiter(const consensus::LogEntry& entry, const ApplyOutcome& outcome, Instant now);
+  /// @return the index of the first entry; nullopt when consensus refused the proposal.
   std::optional<LogIndex> Propose(const std::vector<CommandBody>& commands, Instant now);
   void CompactIfDue(Instant now);
 
   // Leadership.
+  /// Creates or ends the leadership according to the consensus role and the leader lease.
   void UpdateRole(Instant now);
   void EndLeadership();
   void RunLeaderDuties(Instant now);
-  /// Proposes what one part of the leadership decided, all of it at once.
+  /// Proposes all decisions of one part of the leadership in one batch.
   template <class Decider>
   void ProposeDecisions(Decider& decider, Instant now);
   void SendTrafficOrders(Instant now);
   void RepairMembership(Instant now);
-  /// Tells operators of the changes of the configuration that routers have.
+  /// Sends the due acknowledgements of configuration changes to operators.
   void AcknowledgeChanges(Instant now);
+  /// Runs the work that follows every entry point and returns the collected effects.
   ControlEffects Finish(Instant now);
-  /// Whether it leads but for its lease, which may come back with any message of a peer.
+  /// Whether this process leads without a valid leader lease, which any peer message may renew.
   bool AwaitsLease(Instant now) const { return leadership_ && !stopping_ && !Leading(now); }
-  /// Takes what was asked meanwhile, once the lease is back.
+  /// Processes the deferred requests once the leader lease is valid again.
   void ProcessDeferred(Instant now);
 
   // Requests.
@@ -94,20 +99,23 @@
   void OnTrafficPoll(ConnectionId connection, const TrafficPoll& poll, Instant now);
   void OnTokenRequest(ConnectionId connection, const TokenRequest& request, Instant now);
   void OnFeedRequest(ConnectionId connection, const FeedRequest& request);
-  /// Brings the state to the routers that take it from here.
+  /// Sends state changes to the routers subscribed to this process's feed.
   void PushFeed(Instant now);
-  /// Where a router is to take the state from.
+  /// The address of the member whose feed a router should use.
   std::string FeedFor(const TrafficPoll& poll, Instant now);
-  /// Takes a heartbeat in place of the leader.
+  /// Handles a heartbeat on behalf of the leader.
   /// @return false when only the leader may answer it.
   bool RelayHeartbeat(RequestId request, const ReportInstance& heartbeat, Instant now);
-  /// Answers relayed heartbeats whose time has come, and tells the leader of those that wait.
+  /// Answers relayed heartbeats that are complete or expired, and forwards the pending ones to the
+  /// leader.
   void ProcessRelay(Instant now);
+  /// Whether another process is known to lead.
   bool FollowsLeader() const;
   void TakeRelay(const consensus::PeerMessage& message, Instant now);
   void TakeRelayedChanges(const std::string& changes, Instant now);
   void OnHeartbeat(RequestId request, const ReportInstance& heartbeat, Instant now);
-  /// Acknowledges a heartbeat, with leases where its instance gets its keys so.
+  /// Acknowledges a heartbeat; the answer contains leases if the instance's keys are leased by
+  /// heartbeat.
   void ReplyToHeartbeat(RequestId request, const ReportInstance& heartbeat, LogIndex index,
                         Instant now);
   void OnJournal(ConnectionId connection, const JournalRequest& request, Instant now,
@@ -116,6 +124,8 @@
   void Reply(RequestId request, OperatorAnswer answer);
   void SendToRouter(ConnectionId connection, ControlToRouter message);
   void SendNotLeader(ConnectionId connection, std::uint64_t sequence);
+  /// Determines whether a request is answered directly, proposed as a command or applied as a
+  /// membership change.
   OperatorStep Plan(const OperatorRequest& command, Instant now) const;
   BundlesView Bundles(Instant now) const;
   Error NotLeaderError() const;
@@ -129,19 +139,20 @@
   DeferredRequests deferred_;
   PlatformList platform_list_;
   ControlEffects effects_;
+  /// Last log index that is covered by a snapshot.
   LogIndex compacted_index_;
-  Term numbers_term_;                      ///< Term in which `numbers_used_` counts.
-  std::uint64_t numbers_used_ = 0;         ///< Of earlier lease tables of that term.
+  Term numbers_term_;                      ///< The term that `numbers_used_` refers to.
+  std::uint64_t numbers_used_ = 0;         ///< Numbers used by earlier lease tables of that term.
   OrderNumber orders_used_;                ///< By earlier leaderships of this process.
   std::uint64_t pushes_used_ = 0;          ///< By earlier leaderships of this process.
-  std::uint64_t earlier_evaluations_ = 0;  ///< Of decisions of earlier leaderships.
+  std::uint64_t earlier_evaluations_ = 0;  ///< Evaluations of earlier leaderships of this process.
   Instant journal_expiry_due_{};
   Instant membership_check_due_{};
   HeartbeatRelayer relayer_{state_.traffic()};
   StateFeed feed_;
   FeedSelector feed_selector_;
-  Instant leader_known_at_{};  ///< When this process last knew another one that leads.
-  Instant last_entry_at_{};    ///< Of the latest entry point.
+  Instant leader_known_at_{};  ///< When this process last knew another process that leads.
+  Instant last_entry_at_{};    ///< Time of the latest entry point.
   bool stopping_ = false;
 };
 
--- a/src/control/control_node_requests.cc
+++ b/src/control/control_node_requests.cc
@@ -1,5 +1,5 @@
 /// @file
-/// ControlNode's answers to routers and operators.
+/// ControlNode's handling of router and operator requests.
 
 #include <chrono>
 #include <type_traits>
@@ -11,8 +11,8 @@
 namespace graniteseam::control {
 namespace {
 
-/// A process that knew no leader for longer acknowledges nothing: it may be cut off, and a group
-/// that has lost its leader elects the next one sooner.
+/// A process that has known no leader for longer than this acknowledges no heartbeats: it may be
+/// partitioned from its group, since a group that lost its leader elects the next one sooner.
 constexpr Duration kLeaderLostAfter{1'500'000};
 
 }  // namespace
@@ -80,7 +80,7 @@
 
 void ControlNode::Impl::OnTokenRequest(ConnectionId connection, const TokenRequest& request,
                                        Instant now) {
-  // Under the leader lease only: an earlier leader's tokens and a later one's would add up.
+  // Requires the leader lease: otherwise the tokens of two leaders would add up.
   if (!Leading(now) || !leadership_) {
     SendNotLeader(connection, request.sequence);
     return;
@@ -106,9 +106,9 @@
 bool ControlNode::Impl::RelayHeartbeat(RequestId request, const ReportInstance& heartbeat,
                                        Instant now) {
   if (stopping_ || consensus_.role() == consensus::Role::kLeader) return false;
-  const bool lately = FollowsLeader() || now - leader_known_at_ < kLeaderLostAfter;
+  const bool leader_known_recently = FollowsLeader() || now - leader_known_at_ < kLeaderLostAfter;
   using Disposition = HeartbeatRelayer::Disposition;
-  const Disposition disposition = relayer_.Take(request, heartbeat, lately, now);
+  const Disposition disposition = relayer_.Take(request, heartbeat, leader_known_recently, now);
   if (disposition == Disposition::kAcknowledged) Reply(request, Accepted{state_.applied()});
   return disposition != Disposition::kRefused;
 }
@@ -141,14 +141,14 @@
   if (!relay.changes.empty()) TakeRelayedChanges(relay.changes, now);
 }
 
-/// What can not be proposed now is told again by the member that it came from.
+/// Changes that can't be proposed now are resent by the member that relayed them.
 void ControlNode::Impl::TakeRelayedChanges(const std::string& changes, Instant now) {
   const auto decoded = Attempt([&] { return DecodeCommand(changes); });
   const auto* body = std::get_if<CommandBody>(&decoded);
   const auto* command = body == nullptr ? nullptr : std::get_if<ReportInstancesCommand>(body);
   if (command == nullptr) {
     effects_.faults.push_back({ErrorKind::kMalformedMessage,
-                               "A member's relay of heartbeats can not be read.",
+                               "Heartbeat changes relayed by a group member could not be decoded.",
                                "Run the same release on all members."});
     return;
   }
@@ -177,8 +177,8 @@
 
 void ControlNode::Impl::ReplyToHeartbeat(RequestId request, const ReportInstance& heartbeat,
                                          LogIndex index, Instant now) {
-  // Invariant: leases are given under the leader lease only. A later leader counts what this one
-  // may have given from its own election on.
+  // Invariant: leases are granted only under the leader lease. A later leader accounts for the
+  // leases that this one may have granted, starting with its own election.
   std::optional<KeyLeases> leases;
   if (Leading(now) && leadership_) {
     leases = leadership_->traffic.ranges().TakeHeartbeat(heartbeat, now);
--- a/src/control/deferred_requests.h
+++ b/src/control/deferred_requests.h
@@ -1,5 +1,5 @@
 /// @file
-/// What was asked of a leader while its lease had lapsed for a moment.
+/// Requests that arrive at a leader whose lease has lapsed temporarily.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,13 @@
 
 namespace graniteseam::control {
 
+/// An operator request that waits for the leader lease.
 struct DeferredOperatorRequest {
   std::uint64_t request = 0;
   OperatorRequest command;
 };
 
+/// A router's poll that waits for the leader lease.
 struct DeferredPoll {
   std::uint64_t connection = 0;
   traffic::TrafficPoll poll;
@@ -24,30 +26,33 @@
 
 using Deferred = std::variant<DeferredOperatorRequest, DeferredPoll>;
 
-/// Waits with its leader: either the quorum's next answers bring the lease back, or the leader
-/// steps down within the longest election timeout, and each is told so.
+/// Holds requests until the quorum's next answers renew the leader lease, or the leader steps down
+/// within the longest election timeout and refuses each of them.
 ///
-/// Whoever was told "not leader" instead asked all other processes, which named this one: with 285
-/// routers a lapse of 20 ms brought a thousand messages a second, which made the next lease lapse
-/// too. Renewals and journal batches are not deferred: their routers date them from their first
-/// send and act on them once, so that they had better ask anew. Bounded; not thread safe.
+/// A sender that got "not leader" instead queried all other processes, which referred it back to
+/// this one: with 285 routers a lapse of 20 ms caused a thousand messages a second, which made the
+/// next lease lapse too. Renewals and journal batches are not deferred: routers measure them from
+/// their first send and act on them once, so a new request is better. Bounded; not thread safe.
 class DeferredRequests {
  public:
   bool full() const { return waiting_.size() >= kMaximum; }
   bool empty() const { return waiting_.empty(); }
+  /// Must not be called when full().
   void Add(Deferred deferred) { waiting_.push_back(std::move(deferred)); }
+  /// Removes and returns all requests, in the order of arrival.
   std::vector<Deferred> TakeAll() { return std::exchange(waiting_, {}); }
 
-  /// Forgets the polls of a router whose connection is gone.
+  /// Discards the polls of a closed connection.
   void Drop(std::uint64_t connection) {
     std::erase_if(waiting_, [&](const Deferred& deferred) {
-      const auto* asked = std::get_if<DeferredPoll>(&deferred);
-      return asked != nullptr && asked->connection == connection;
+      const auto* poll = std::get_if<DeferredPoll>(&deferred);
+      return poll != nullptr && poll->connection == connection;
     });
   }
 
  private:
-  /// Several times what a fleet of 1,100 processes asks within the longest election timeout.
+  /// Several times the number of requests that a fleet of 1,100 processes sends within the longest
+  /// election timeout.
   static constexpr std::size_t kMaximum = 4'096;
 
   std::vector<Deferred> waiting_;
--- a/src/control/displacement.cc
+++ b/src/control/displacement.cc
@@ -3,7 +3,8 @@
 namespace graniteseam::control {
 namespace {
 
-/// The later life of a displaced instance, or else who is at its address; null when there is none.
+/// The later incarnation of a displaced instance, otherwise the current holder of its address; null
+/// when there is neither.
 const traffic::Instance* SuccessorOf(const traffic::InstanceTable& instances,
                                      const traffic::Instance& displaced) {
   if (displaced.state != traffic::InstanceState::kDisplaced) return nullptr;
@@ -12,7 +13,7 @@
   return is_other ? later : instances.HolderOf(displaced.report.address);
 }
 
-/// Whether what was sent to one instance would be taken by the other: same name, same address.
+/// Whether `later` accepts orders that were sent to `former`: same name and same address.
 bool AcceptsOrdersOf(const traffic::Instance& later, const traffic::Instance& former) {
   return later.report.address == former.report.address &&
          traffic::NameOf(later.report.id) == traffic::NameOf(former.report.id);
@@ -35,7 +36,7 @@
 std::vector<StaleAddressHolder> FindStaleAddressHolders(const traffic::InstanceTable& instances,
                                                         const InstanceLiveness& liveness,
                                                         Instant now) {
-  std::vector<StaleAddressHolder> forerunners;
+  std::vector<StaleAddressHolder> stale_holders;
   for (const auto& [id, instance] : instances.instances()) {
     const traffic::Instance* const successor = SuccessorOf(instances, instance);
     if (successor == nullptr || !liveness.IsUnreachable(successor->report.id, now)) continue;
@@ -43,9 +44,9 @@
     const auto successor_heard = liveness.FirstHeard(successor->report.id);
     if (!displaced_heard || !successor_heard) continue;
     if (*displaced_heard - *successor_heard <= kHeartbeatDelayMaximum) continue;
-    forerunners.push_back({successor->report.id, instance.report});
+    stale_holders.push_back({successor->report.id, instance.report});
   }
-  return forerunners;
+  return stale_holders;
 }
 
 }  // namespace graniteseam::control
--- a/src/control/displacement.h
+++ b/src/control/displacement.h
@@ -1,11 +1,11 @@
 /// @file
-/// Which of two instances that reported from one address has ended.
+/// Determines which of two instances that reported from one address has terminated.
 ///
-/// An address belongs to one process at a time, so that whoever reported from it before has ended.
-/// But a heartbeat may be late: a process whose life was shorter than its first heartbeat's way is
-/// heard of only after the one that follows it at the address. Such a forerunner displaces an
-/// instance that lives. What tells the two apart is the longest time that a heartbeat is on its
-/// way.
+/// An address belongs to one process at a time, so an instance that reported from it earlier has
+/// terminated. But heartbeats may be delayed: if a process terminates before its first heartbeat
+/// arrives, that heartbeat may be received after those of the next process at the address. The
+/// terminated process then becomes the address's holder and displaces a live instance. The two
+/// cases are distinguished by the maximum delay of a heartbeat.
 #pragma once
 
 #include <vector>
@@ -15,27 +15,28 @@
 
 namespace graniteseam::control {
 
-/// The longest time from a heartbeat's sending until the leader has taken it; an assumption of
+/// Maximum time from the sending of a heartbeat until the leader has processed it; an assumption of
 /// docs/design/platform.md.
 inline constexpr Duration kHeartbeatDelayMaximum{10'000'000};
 
-/// Whether a displaced instance has ended for certain, and nothing that was sent to it can act any
-/// more: it had been heard of for so long that its successor's heartbeat can not be one of a
-/// forerunner. False for one that is not displaced. False also for one whose successor is a later
-/// life under its name at its address: that one takes late orders for its own. Its answer to a
-/// release tells that it has seen a higher fence, and refuses them from then on.
+/// Whether a displaced instance has certainly terminated, so that no order sent to it can take
+/// effect: it was first heard so long before its successor that the successor's heartbeat can't be
+/// a delayed one of an earlier process. False for an instance that is not displaced. Also false if
+/// the successor is a later incarnation with the same name and address: it accepts delayed orders
+/// for the earlier one. Its answer to a release shows that it has seen a higher fence, and it
+/// refuses such orders from then on.
 bool HasProvablyEnded(const traffic::InstanceTable& instances, const InstanceLiveness& liveness,
                       const traffic::InstanceId& id);
 
-/// A displaced instance that is proven to live, and who holds its address: a forerunner, which
-/// ended before it began.
+/// The recorded holder of an address that terminated before the displaced instance, which is proven
+/// to be alive, started.
 struct StaleAddressHolder {
   traffic::InstanceId id;
-  traffic::InstanceReport displaced;  ///< What is known of the instance that lives.
+  traffic::InstanceReport displaced;  ///< The last report of the live instance.
 };
 
-/// The displaced instance was heard of so long after the holder of its address that its heartbeat
-/// can not be late, and the holder is silent.
+/// Finds the holders that are unreachable and whose displaced instance sent a heartbeat so much
+/// later than theirs that it can't be a delayed one.
 std::vector<StaleAddressHolder> FindStaleAddressHolders(const traffic::InstanceTable& instances,
                                                         const InstanceLiveness& liveness,
                                                         Instant now);
--- a/src/control/feed_selector.cc
+++ b/src/control/feed_selector.cc
@@ -7,23 +7,24 @@
 namespace graniteseam::control {
 namespace {
 
-/// A peer that answered so lately, and had all that is committed within the longer time, may be
-/// given routers. One that is slower than that is left by its routers themselves.
+/// A peer is eligible if it answered within the first time and had all committed entries within the
+/// second one. Routers themselves leave a feed that is slower.
 constexpr Duration kAnsweredWithin{1'000'000};
 constexpr Duration kEligibleAfterCaughtUp{3'000'000};
+/// Interval of updates of the eligible members.
 constexpr Duration kUpdateInterval{100'000};
 
-/// The member at a place in the order in which a router prefers them: each by a draw of its own, so
-/// that a member which comes or goes changes nothing for routers of others.
+/// The member at position `place` in the router's order of preference. Rendezvous hashing orders
+/// the members per router, so that adding or removing a member affects only its own routers.
 std::string PreferredMember(const RouterId& router, const std::vector<std::string>& members,
                             std::size_t place) {
-  std::vector<std::pair<std::size_t, std::string>> drawn;
-  drawn.reserve(members.size());
+  std::vector<std::pair<std::size_t, std::string>> ranked;
+  ranked.reserve(members.size());
   for (const std::string& member : members) {
-    drawn.emplace_back(std::hash<std::string>{}(router.value + " " + member), member);
+    ranked.emplace_back(std::hash<std::string>{}(router.value + " " + member), member);
   }
-  std::sort(drawn.begin(), drawn.end());
-  return drawn[place].second;
+  std::sort(ranked.begin(), ranked.end());
+  return ranked[place].second;
 }
 
 }  // namespace
@@ -48,8 +49,8 @@
 std::string FeedSelector::SelectFeed(const RouterId& router, const ZoneName& zone,
                                      std::uint32_t tried) const {
   const auto in_zone = by_zone_.find(zone);
-  const bool near = in_zone != by_zone_.end() && tried < in_zone->second.size();
-  if (near) return PreferredMember(router, in_zone->second, tried);
+  const bool zone_has_candidate = in_zone != by_zone_.end() && tried < in_zone->second.size();
+  if (zone_has_candidate) return PreferredMember(router, in_zone->second, tried);
   return all_.empty() ? leader_ : PreferredMember(router, all_, tried % all_.size());
 }
 
--- a/src/control/feed_selector.h
+++ b/src/control/feed_selector.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which member of the group brings a router the state.
+/// Selects the group member whose state feed a router subscribes to.
 #pragma once
 
 #include <cstdint>
@@ -12,27 +12,30 @@
 
 namespace graniteseam::control {
 
-/// A member of the router's own zone where there is one, so that the state crosses between zones
-/// once a member and not once a router; the routers of a zone are spread over its members, and each
-/// keeps its member as long as that is there, whichever others come and go. A member that is behind
-/// for a moment, as most are while much is committed, stays one. The leader, which has the most to
-/// do, is a feed only where a zone has no other. A router that says that its feed does not keep up
-/// is named the next. Not thread safe; `now` never goes back.
+/// Prefers members of the router's own zone, so that the state crosses zones once per member
+/// instead of once per router. The routers of a zone are spread over its members, and each keeps
+/// its member while that is available, whichever others come and go. A member that lags
+/// temporarily, as most do during heavy commits, remains eligible. The leader has the highest load
+/// and is selected only for a zone without another member. A router that reports that its feed lags
+/// gets the next member. Not thread safe; `now` must not decrease.
 class FeedSelector {
  public:
-  /// Whether the members are to be told again.
+  /// Whether Take() should be called again.
   bool IsDue(Instant now) const { return now >= due_; }
+  /// Updates the eligible members.
   void Take(const consensus::Member& leader, const std::vector<consensus::PeerStatus>& peers,
             Instant now);
 
+  /// @param tried number of feeds that the router has already given up.
   /// @return the internal address of the router's feed.
   std::string SelectFeed(const RouterId& router, const ZoneName& zone, std::uint32_t tried) const;
 
  private:
   Instant due_{};
   std::string leader_;
-  std::map<std::string, Instant> caught_up_at_;  ///< When members last had all that was committed.
-  std::vector<std::string> all_;                 ///< Without the leader.
+  std::map<std::string, Instant> caught_up_at_;  ///< When each member last had all committed
+                                                 ///< entries.
+  std::vector<std::string> all_;                 ///< Eligible members except the leader.
   std::map<ZoneName, std::vector<std::string>> by_zone_;
 };
 
--- a/src/control/heartbeat_leases.cc
+++ b/src/control/heartbeat_leases.cc
@@ -1,11 +1,11 @@
 /// @file
-/// The range controller's leases by heartbeat. An owner learns what it holds only from the answers
-/// to its heartbeats, and tells in heartbeats what it let go of;
+/// The range controller's leases by heartbeat. An owner learns which keys it holds only from the
+/// answers to its heartbeats, and reports released keys in its heartbeats; see
 /// docs/design/leases-by-heartbeat.md.
 ///
-/// Invariant: a lease counts from the sending of the heartbeat, so that it has run out on the
-/// owner's clock when its length, stretched by the clocks' drift, has passed since the heartbeat's
-/// arrival here. Answers that are lost, late or crossed can only make it end sooner.
+/// Invariant: a lease counts from the sending of the heartbeat, so on the owner's clock it has
+/// expired once its length, extended by the clock drift, has passed since the heartbeat arrived
+/// here. Lost, delayed or reordered answers can only shorten it.
 
 #include <algorithm>
 #include <utility>
@@ -19,24 +19,26 @@
 using traffic::KeySpan;
 using traffic::RangePhase;
 
-/// Heartbeats without a leased range after which its fence is taken for refused: one answer may
-/// have been lost, and one heartbeat may have been sent before the answer came.
+/// Number of heartbeats without a leased range after which the owner is assumed to refuse its
+/// fence. One answer may have been lost, and one heartbeat may have been sent before the answer
+/// arrived.
 constexpr int kHeartbeatsWithoutRangeMaximum = 4;
-/// Instances that let go of keys beat each 100 ms; what is longer than some of that is regular.
+/// Instances that release keys send heartbeats every 100 ms; only intervals longer than several of
+/// these count as regular.
 constexpr Duration kHeartbeatIntervalMinimum{300'000};
 
-/// What is left of `spans` without `hole`.
+/// The parts of `spans` outside `hole`.
 std::vector<KeySpan> Without(const std::vector<KeySpan>& spans, const KeySpan& hole) {
-  std::vector<KeySpan> rest;
+  std::vector<KeySpan> remaining;
   for (const KeySpan& span : spans) {
     if (!span.Overlaps(hole)) {
-      rest.push_back(span);
+      remaining.push_back(span);
       continue;
     }
-    if (span.first < hole.first) rest.push_back({span.first, hole.first - 1});
-    if (hole.last < span.last) rest.push_back({hole.last + 1, span.last});
+    if (span.first < hole.first) remaining.push_back({span.first, hole.first - 1});
+    if (hole.last < span.last) remaining.push_back({hole.last + 1, span.last});
   }
-  return rest;
+  return remaining;
 }
 
 }  // namespace
@@ -70,7 +72,7 @@
   if (!LeasedByHeartbeat(report.service) || InQuietTime(report.service, now)) return std::nullopt;
   if (followed_version_ != state_.ranges().changed_at()) FollowRanges(now);
   Holder& holder = holders_[report.id];
-  // A late heartbeat tells of keys as they were.
+  // A delayed heartbeat has outdated information about keys.
   if (report.sequence <= holder.sequence) return std::nullopt;
   holder.sequence = report.sequence;
   const Duration since = now - holder.heard;
@@ -89,8 +91,8 @@
   return leases;
 }
 
-/// What an instance holds and the state does not give it is left out of the answer, so that the
-/// instance lets go of it.
+/// Records spans that an instance holds but that the state assigns to another one. They are omitted
+/// from the answer, so that the instance releases them.
 void RangeController::NoteUnknownKeys(const ReportInstance& heartbeat) {
   const traffic::InstanceId& id = heartbeat.report.id;
   for (const traffic::HeldSpan& held : heartbeat.keys.held) {
@@ -103,21 +105,21 @@
 
 void RangeController::Lease(const KeyRange& range, RangeCare& care, Holder& holder,
                             traffic::KeyLeases& leases, Instant now) {
-  const std::vector<KeySpan> given = SpansToLease(range, care);
-  for (const KeySpan& span : given) {
+  const std::vector<KeySpan> leased_spans = SpansToLease(range, care);
+  for (const KeySpan& span : leased_spans) {
     leases.spans.push_back({span, range.fence, range.handover});
     NoteGrant(range.owner, range.service, span, EndOfGrant(options_.lease_length, now));
     std::erase_if(holder.omissions,
                   [&](const Omission& omission) { return omission.span.Overlaps(span); });
   }
-  if (!given.empty()) {
-    // Routers may send to the owner at once: its answer is on the way, and what comes sooner is
-    // refused by it without being run.
+  if (!leased_spans.empty()) {
+    // Routers may send to the owner at once: the answer with the lease is on its way, and the owner
+    // refuses earlier requests without running them.
     if (range.phase == RangePhase::kGranting && !care.confirmed) decide_due_ = now;
     care.leased = care.confirmed = true;
   }
   std::vector<KeySpan> omitted{range.span};
-  for (const KeySpan& span : given) omitted = Without(omitted, span);
+  for (const KeySpan& span : leased_spans) omitted = Without(omitted, span);
   for (const KeySpan& span : omitted) {
     if (NoteOmission(holder, span, now)) decide_due_ = now;
   }
@@ -126,11 +128,11 @@
 void RangeController::TakeRelease(const ReportInstance& heartbeat, const Holder& holder,
                                   const KeyRange& range, RangeCare& care, Instant now) {
   if (care.released) return;
-  // What is left out is known of this leadership's answers only: a heartbeat that was sent before
-  // a former leader's answer may come after them.
+  // Only omissions from this leadership's answers are known. A heartbeat sent before a previous
+  // leader's answer may arrive after this leader's.
   if (now <= inherited_until_) return;
-  // Only a heartbeat that was sent after an answer without these keys tells of their release: one
-  // before it may have been sent before the keys were leased.
+  // Only a heartbeat that was sent after an answer without these keys proves their release. An
+  // earlier one may have been sent before the keys were leased.
   const auto omission =
       std::find_if(holder.omissions.begin(), holder.omissions.end(), [&](const Omission& known) {
         return known.span.Contains(range.span) && known.sequence < heartbeat.report.sequence;
@@ -142,28 +144,31 @@
   });
   if (holds) return;
   const auto& released = heartbeat.keys.released;
-  const auto told = std::find_if(released.begin(), released.end(),
-                                 [&](const auto& one) { return one.span.Contains(range.span); });
-  // What ran out, or was told to an earlier leader, is not told again. Then the time must have
-  // passed in which the instance could still take an earlier answer that gave the keys.
-  const bool settled = now - omission->at > options_.answer_acceptance_window;
-  if (told == released.end() && !settled) return;
+  const auto reported = std::find_if(released.begin(), released.end(), [&](const auto& one) {
+    return one.span.Contains(range.span);
+  });
+  // A lease that expired, or a release that was reported to an earlier leader, is not reported
+  // again. Then the time must have passed in which the instance could still accept an earlier
+  // answer with the keys.
+  const bool no_answer_pending = now - omission->at > options_.answer_acceptance_window;
+  if (reported == released.end() && !no_answer_pending) return;
   care.released = true;
-  if (told != released.end()) care.handover = told->handover;
+  if (reported != released.end()) care.handover = reported->handover;
   Note("released", range, range.span,
-       "by heartbeat " + std::to_string(heartbeat.report.sequence) + ", left out since " +
-           std::to_string(omission->sequence) + (told == released.end() ? ", not told" : ""));
+       "by heartbeat " + std::to_string(heartbeat.report.sequence) + ", omitted since " +
+           std::to_string(omission->sequence) +
+           (reported == released.end() ? ", release not reported" : ""));
   decide_due_ = now;
 }
 
 void RangeController::TakeHeldSpans(const traffic::HeldKeys& keys, const KeyRange& range,
                                     RangeCare& care) {
   if (!care.leased || !range.Owned()) return;
-  const bool told =
+  const bool reported =
       std::any_of(keys.held.begin(), keys.held.end(), [&](const traffic::HeldSpan& one) {
         return one.fence == range.fence && one.span.Overlaps(range.span);
       });
-  care.unheeded = told ? 0 : care.unheeded + 1;
+  care.unheeded = reported ? 0 : care.unheeded + 1;
   care.refused = care.refused || care.unheeded > kHeartbeatsWithoutRangeMaximum;
 }
 
--- a/src/control/heartbeat_relayer.cc
+++ b/src/control/heartbeat_relayer.cc
@@ -7,14 +7,15 @@
 namespace graniteseam::control {
 namespace {
 
-/// For how long heartbeats that change nothing are gathered: short beside the silence after which
-/// an instance gets nothing new.
+/// Batching interval of heartbeats that change nothing: short compared with the time without a
+/// heartbeat after which an instance gets no new work.
 constexpr Duration kUnchangedInterval{400'000};
-/// The same of those that change something: many come at the same moment when many drain.
+/// Batching interval of heartbeats with changes: many arrive at the same time when many instances
+/// drain.
 constexpr Duration kReportsInterval{20'000};
-/// After this a report that is not committed is told again: its leader may be lost.
+/// Resend interval of reports that are not committed, since their leader may be lost.
 constexpr Duration kReportsResendInterval{250'000};
-/// Callers go to another process after a second.
+/// Callers fail over to another process after one second.
 constexpr Duration kWaitMaximum{800'000};
 constexpr std::size_t kWaitingMaximum = 2'048;
 
@@ -24,7 +25,7 @@
                                                      const ReportInstance& heartbeat,
                                                      bool leader_known, Instant now) {
   const traffic::InstanceReport& report = heartbeat.report;
-  // Only the leader may renew the leases of instances that get their keys by heartbeat.
+  // Only the leader may renew leases by heartbeat.
   const bool leased = state_.LeasedByHeartbeat(report.service);
   if (leased && leader_known) return Disposition::kRefused;
   const bool changes = !leased && state_.instances().WouldChange(report);
--- a/src/control/heartbeat_relayer.h
+++ b/src/control/heartbeat_relayer.h
@@ -1,5 +1,5 @@
 /// @file
-/// Heartbeats that a control process takes although it does not lead.
+/// Handling of heartbeats by a control process that is not the leader.
 #pragma once
 
 #include <cstdint>
@@ -15,51 +15,56 @@
 
 namespace graniteseam::control {
 
-/// Takes heartbeats for the leader. One that changes nothing is acknowledged at once and its
-/// instance named to the leader with others; one that changes something is told to the leader with
-/// others, which proposes them together, and is acknowledged when the change was committed and
-/// stands in this process's own state.
+/// Handles heartbeats on behalf of the leader. A heartbeat that changes nothing is acknowledged at
+/// once, and its instance is reported to the leader in a batch. One that changes something is
+/// forwarded to the leader in a batch, which the leader proposes as one command; it is acknowledged
+/// when the change is committed and applied in this process's own state.
 ///
-/// So hundreds of instances neither cross zones nor cost the leader a call each, also when they all
-/// start or drain at the same moment. Without a leader they wait here instead of asking round: 290
-/// of them that came again 150 ms after each refusal took all of the 0.06 of a core that each of
-/// six processes had, and none could elect. Each waits for `kWaitMaximum` at most. Not thread safe;
-/// `now` never goes back.
+/// Heartbeats of hundreds of instances thus neither cross zones nor cost the leader one call each,
+/// even if all instances start or drain at the same time. Without a leader, heartbeats wait here
+/// instead of being retried at other processes: 290 instances that retried 150 ms after each
+/// refusal used all of the 0.06 of a core that each of six processes had, and no leader could be
+/// elected. Each heartbeat waits for at most `kWaitMaximum`. Not thread safe; `now` must not
+/// decrease.
 class HeartbeatRelayer {
  public:
+  /// How a heartbeat was handled.
   enum class Disposition {
-    kAcknowledged,  ///< It changes nothing.
-    kPending,       ///< TakeCompleted() or TakeExpired() will name it.
-    kRefused,       ///< Only the leader may answer it, or too many wait.
+    kAcknowledged,  ///< The heartbeat changes nothing.
+    kPending,       ///< TakeCompleted() or TakeExpired() returns it later.
+    kRefused,       ///< Only the leader may answer it, or too many are pending.
   };
 
   explicit HeartbeatRelayer(const traffic::TrafficState& state) : state_(state) {}
 
-  /// @param leader_known whether this process knows a leader, or did so lately.
+  /// Accepts a heartbeat.
+  /// @param leader_known whether this process knows a leader or did so recently.
   Disposition Take(std::uint64_t request, const ReportInstance& heartbeat, bool leader_known,
                    Instant now);
 
-  /// Requests that may be answered, for a process that knows a leader.
+  /// Requests that can be answered, on a process that knows a leader.
   struct Completed {
-    std::vector<std::uint64_t> acknowledged;  ///< What they told stands in the committed state.
-    std::vector<std::uint64_t> refused;       ///< The leader must answer them itself.
+    std::vector<std::uint64_t> acknowledged;  ///< Their changes are in the committed state.
+    std::vector<std::uint64_t> refused;       ///< Only the leader may answer them.
   };
   Completed TakeCompleted(Instant now);
-  /// Requests that have waited too long.
+  /// Removes and returns the requests that have waited too long.
   std::vector<std::uint64_t> TakeExpired(Instant now);
+  /// A heartbeat that waits for its answer.
   struct Waiting {
     std::uint64_t request = 0;
     ReportInstance heartbeat;
     Instant until;
   };
-  /// All that wait, whole, for a process that has come to lead: what a heartbeat says of keys
-  /// counts there, and one that left them out would seem to have let them go.
+  /// Removes and returns all pending heartbeats, for a process that has become leader. They are
+  /// complete, since the leader evaluates their key reports, and a report without keys would look
+  /// like a release.
   std::vector<Waiting> TakeAll() { return std::exchange(waiting_, {}); }
 
-  /// What the leader is to be told now, nullopt when nothing is due.
+  /// The batch that is due to be sent to the leader; nullopt when nothing is due.
   std::optional<consensus::HeartbeatRelay> Flush(Instant now);
 
-  /// When TakeExpired() has something to do, or Flush() where a leader is known.
+  /// When TakeExpired() is due, or Flush() if a leader is known.
   Instant NextDue(bool leader_known) const;
 
  private:
@@ -67,12 +72,13 @@
 
   const traffic::TrafficState& state_;
   std::set<std::string>
-      unchanged_instances_;  ///< Instances that told nothing new since the last batch.
+      unchanged_instances_;  ///< Instances with heartbeats without changes since the last batch.
   Instant unchanged_due_ = Instant::max();
-  std::vector<Waiting> waiting_;  ///< In the order of their `until`.
+  std::vector<Waiting> waiting_;  ///< In the order of `until`.
   Instant reports_due_ = Instant::max();
-  std::uint64_t checked_version_ = 0;  ///< Of the state that waiting reports were held against.
-  bool has_unchecked_ = false;         ///< Some came since that need not change the state.
+  std::uint64_t checked_version_ = 0;  ///< State version that pending reports were last compared
+                                       ///< with.
+  bool has_unchecked_ = false;         ///< Whether reports without changes have arrived since.
 };
 
 }  // namespace graniteseam::control
--- a/src/control/hint_publisher.cc
+++ b/src/control/hint_publisher.cc
@@ -7,11 +7,12 @@
 namespace graniteseam::control {
 namespace {
 
-/// Between two looks: a window of the balancer, which finds the hot keys.
+/// Interval of evaluations: one window of the balancer, which detects the hot keys.
 constexpr Duration kEvaluationInterval{250'000};
-/// Routers forget a hot key of which they hear nothing for longer.
+/// Interval at which a hot key is published again, since routers drop hot keys that are not
+/// refreshed.
 constexpr Duration kHotKeyRefresh{1'000'000};
-/// By which the admitted part must change to be told before that.
+/// Relative change of the admitted fraction that is published before the refresh.
 constexpr double kAdmittedChange = 0.25;
 
 bool ContainsKey(const std::vector<traffic::HotKey>& hot, const ServiceName& service,
@@ -25,7 +26,7 @@
 
 void HintPublisher::TakePoll(const traffic::TrafficPoll& poll, Instant now) {
   for (const traffic::InstanceSpeed& speed : poll.speeds) {
-    // An owner of keys is the only one for them: routers have nothing to choose.
+    // Keys have only one owner, so routers have no choice of instance.
     if (IsPoolInstance(speed.instance)) health_.Take(poll.router, speed, now);
   }
 }
--- a/src/control/hint_publisher.h
+++ b/src/control/hint_publisher.h
@@ -1,5 +1,5 @@
 /// @file
-/// When the leader tells routers which hints.
+/// Determines which hints the leader publishes to routers, and when.
 #pragma once
 
 #include <map>
@@ -11,25 +11,28 @@
 
 namespace graniteseam::control {
 
-/// Belongs to one leadership. Not thread safe; `now` never goes back.
+/// Combines the hints about instances, hot keys and limits, and publishes changes only. Exists for
+/// one leadership. Not thread safe; `now` must not decrease.
 class HintPublisher {
  public:
   explicit HintPublisher(const traffic::TrafficState& state) : state_(state) {}
 
+  /// Records the instance measurements of a router's poll.
   void TakePoll(const traffic::TrafficPoll& poll, Instant now);
 
-  /// Whether it is time to look for what is to be told.
+  /// Whether Evaluate() is due.
   bool IsDue(Instant now) const { return now >= evaluation_due_; }
-  /// What all routers should be told now.
+  /// The hints to be sent to all routers now; nullopt when there are none.
   /// @param hot keys that are hot at present.
-  /// @param limits of instances, those that changed.
+  /// @param limits changed limits of instances.
   std::optional<traffic::TrafficHints> Evaluate(const std::vector<traffic::HotKey>& hot,
                                                 Instant now,
                                                 std::vector<traffic::InstanceLimit> limits = {});
-  /// What a router should be told that was told nothing yet.
+  /// All current hints, for a router that has received none yet.
   traffic::TrafficHints All(Instant now) const;
 
  private:
+  /// The last published hint about a hot key.
   struct PublishedHint {
     double admitted = 1;
     Instant at{};
@@ -37,7 +40,7 @@
 
   bool IsPoolInstance(const traffic::InstanceId& id) const;
   void AddHotKeyHint(const traffic::HotKey& hot, std::vector<traffic::HotKey>& hints, Instant now);
-  /// Ends what was told of keys that are not hot any more.
+  /// Adds hints that end those of keys which are no longer hot.
   void AddEndedHotKeyHints(const std::vector<traffic::HotKey>& hot,
                            std::vector<traffic::HotKey>& hints);
 
--- a/src/control/instance_health_tracker.cc
+++ b/src/control/instance_health_tracker.cc
@@ -7,20 +7,22 @@
 namespace graniteseam::control {
 namespace {
 
-/// Routers tell failures at once and successes each 2 s: what succeeded is looked for over twice as
-/// long, and counts by half.
+/// Routers report failures at once and successes every 2 s, so successes decay over twice the time
+/// and are weighted by half.
 constexpr Duration kFailureTimeConstant{2'000'000};
 constexpr Duration kAnswerTimeConstant{4'000'000};
-/// So many failures are no chance, when more than one router saw them: one alone may be cut off.
+/// Number of failures that is significant if more than one router observed them. A single router
+/// may be partitioned.
 constexpr double kFailuresMinimum = 3;
-/// Percent. What is told fades at the routers, so that a failing instance is told again.
+/// In percent. Published values decay at the routers, so a failing instance is published again.
 constexpr double kFailingPercentMinimum = 30;
 constexpr double kFailingPercentChange = 25;
-/// Answers that a mean latency must stand on, and up to which older ones count.
+/// Minimum number of answers for a mean latency, and the maximum weight of older ones.
 constexpr double kAnswersMinimum = 6;
 constexpr double kAnswersMaximum = 40;
-/// By which a latency must differ from what was told last, and how long that stands at least: where
-/// servers slow down, their means pass through many values, and each goes to all routers.
+/// Relative change of a latency that is published, and the minimum time between two publications:
+/// when servers slow down, their means pass through many values, and each would be sent to all
+/// routers.
 constexpr double kLatencyChange = 0.4;
 constexpr Duration kLatencyPublishInterval{4'000'000};
 constexpr Duration kRetention{60'000'000};
@@ -57,8 +59,8 @@
   const double answers = speed.answers;
   observed.latency_weight = std::min(observed.latency_weight + answers, kAnswersMaximum);
   const double sample = static_cast<double>(speed.busy_us) / answers;
-  const double part = std::min(1.0, answers / observed.latency_weight);
-  observed.latency_us += part * (sample - observed.latency_us);
+  const double weight = std::min(1.0, answers / observed.latency_weight);
+  observed.latency_us += weight * (sample - observed.latency_us);
 }
 
 std::uint32_t InstanceHealthTracker::FailingPercent(const Observations& observed, Instant now) {
--- a/src/control/instance_health_tracker.h
+++ b/src/control/instance_health_tracker.h
@@ -1,5 +1,6 @@
 /// @file
-/// What all routers together saw of instances lately, and which of it routers should be told.
+/// Combines what all routers recently observed of instances, and selects the changes to be
+/// published to routers.
 #pragma once
 
 #include <map>
@@ -11,34 +12,37 @@
 
 namespace graniteseam::control {
 
-/// Tells only what changed much, since each hint goes to all routers. Not thread safe; `now` never
-/// goes back.
+/// Publishes only large changes, since each hint is sent to all routers. Not thread safe; `now`
+/// must not decrease.
 class InstanceHealthTracker {
  public:
+  /// Records the measurements of one router.
   void Take(const RouterId& router, const traffic::InstanceSpeed& speed, Instant now);
-  /// What changed much since it was told last.
+  /// Returns hints for what changed considerably since it was last published, and marks it as
+  /// published.
   std::vector<traffic::InstanceHint> TakeChanges(Instant now);
-  /// All that stands, for a router that was told nothing yet.
+  /// All current hints, for a router that has received none yet.
   std::vector<traffic::InstanceHint> All(Instant now) const;
-  /// Forgets instances of which nobody told for long.
+  /// Removes instances without recent reports.
   void RemoveExpired(Instant now);
 
  private:
-  /// A sum in which older events count less and less.
+  /// A sum with exponential decay.
   struct DecayingSum {
     double value = 0;
     Instant at{};
     void Add(double amount, Duration time_constant, Instant now);
     double At(Duration time_constant, Instant now) const;
   };
+  /// Measurements of one instance, and what was published of them.
   struct Observations {
-    DecayingSum answers;   ///< Whole ones.
-    DecayingSum failures;  ///< Answers that tell of a failure, and attempts that got none.
-    RouterId
-        failure_reporter;  ///< A router that told of failures, and whether another one did too.
+    DecayingSum answers;        ///< Complete answers without failure.
+    DecayingSum failures;       ///< Failure answers, and attempts without an answer.
+    RouterId failure_reporter;  ///< The router that last reported failures, and whether another one
+                                ///< did too.
     bool several_failure_reporters = false;
     double latency_us = 0;
-    double latency_weight = 0;  ///< Answers that the mean stands on.
+    double latency_weight = 0;  ///< Number of answers in the mean, limited.
     Instant reported_at{};
     std::uint32_t published_latency_us = 0;
     Instant latency_published_at{};
--- a/src/control/instance_limits.cc
+++ b/src/control/instance_limits.cc
@@ -9,20 +9,20 @@
 namespace graniteseam::control {
 namespace {
 
-/// Tokens that may gather while nobody asks: one, and what comes in this time.
+/// Token bucket size: one token, plus the tokens of this time.
 constexpr double kBurstSeconds = 0.5;
-/// Part by which a limit must change to be told to all routers.
+/// Relative change of a limit that is published to all routers.
 constexpr double kPublishedChange = 0.25;
-/// A word that no router tells of or asks about for longer is forgotten.
+/// A limit that no router reports or requests tokens for is dropped after this time.
 constexpr Duration kRetention{60'000'000};
 constexpr double kMillis = 1'000;
-/// A shorter rest is over before moved keys would be served again.
+/// A shorter back-off ends before moved keys would be served again.
 constexpr Duration kBackoffMinimum{1'000'000};
-/// How long an instance owns nothing after its rest. A server that sheds load goes on for some
-/// seconds, and nobody who does not ask it hears of the end.
+/// Time after the back-off in which an instance owns no keys. A server usually sheds load for
+/// several seconds, and only those that send it requests notice the end.
 constexpr Duration kPauseMinimum{2'000'000};
 constexpr Duration kPauseMaximum{16'000'000};
-/// Within this after its pause a further rest is taken for the same trouble.
+/// A further back-off within this time after the pause counts as the same incident.
 constexpr Duration kSameIncidentWithin{10'000'000};
 
 }  // namespace
@@ -41,9 +41,9 @@
 }
 
 void InstanceLimits::RefillTokens(LimitState& state, Instant now) {
-  const double come = state.limit * ToSeconds(now - state.refilled_at);
+  const double refill = state.limit * ToSeconds(now - state.refilled_at);
   state.refilled_at = now;
-  state.tokens = std::min(state.tokens + come, 1 + kBurstSeconds * state.limit);
+  state.tokens = std::min(state.tokens + refill, 1 + kBurstSeconds * state.limit);
 }
 
 traffic::LimitTokenGrant InstanceLimits::TakeTokens(const traffic::LimitTokenRequest& request,
--- a/src/control/instance_limits.h
+++ b/src/control/instance_limits.h
@@ -1,6 +1,6 @@
 /// @file
-/// What instances state of the requests that they take, as routers tell the leader: limits, with
-/// the tokens that share them, and rests.
+/// Request limits and back-off requests of instances, as reported by routers to the leader, and the
+/// tokens that share the limits among routers.
 #pragma once
 
 #include <cstdint>
@@ -13,44 +13,52 @@
 
 namespace graniteseam::control {
 
-/// Invariant: within any span, the tokens given for an instance are no more than its limit allows
-/// in that span and a burst, also over a change of leader: a new one begins without any, and
-/// tokens are given under the leader lease only. Answers the load of many routers that each keep
-/// to a limit by themselves.
+/// Distributes an instance's request limit among routers as tokens.
 ///
-/// The newest word counts, by when a router heard it. Lives as long as one leadership. Not thread
-/// safe; `now` never goes back.
+/// Invariant: within any period, the tokens granted for an instance do not exceed its limit for
+/// that period plus one burst, also across a change of leader: a new leader starts without tokens,
+/// and tokens are granted under the leader lease only. This prevents the overload by many routers
+/// that each observe a limit independently.
+///
+/// The newest report counts, by the time when a router received it. Exists for one leadership. Not
+/// thread safe.
 class InstanceLimits {
  public:
-  void Take(const traffic::InstanceLimit& state, Instant now);
+  /// Records a reported limit.
+  void Take(const traffic::InstanceLimit& limit, Instant now);
+  /// Records the request's limit and grants as many of the requested tokens as are available. A
+  /// partial grant has the time after which to retry.
   traffic::LimitTokenGrant TakeTokens(const traffic::LimitTokenRequest& request, Instant now);
 
-  void Take(const traffic::InstanceRest& backoff, Instant now);
-  /// Whether an instance lately asked for so long a rest that it had better own nothing.
+  /// Records an instance's request to back off.
+  void Take(const traffic::InstanceRest& report, Instant now);
+  /// Whether an instance recently requested so long a back-off that it should own no keys.
   bool IsBackingOff(const traffic::InstanceId& instance, Instant now) const;
 
-  /// Requests a second; nullopt for an instance that names no limit.
+  /// In requests per second; nullopt for an instance without a limit.
   std::optional<double> LimitOf(const traffic::InstanceId& instance) const;
 
-  /// Words that changed much since they were told to all routers.
+  /// Limits that changed considerably since they were last published to all routers; marks them as
+  /// published.
   std::vector<traffic::InstanceLimit> TakeChanges(Instant now);
-  /// All limits that stand, for a router that was told nothing yet.
+  /// All current limits, for a router that has received none yet.
   std::vector<traffic::InstanceLimit> All(Instant now) const;
 
  private:
+  /// An instance's limit and token bucket.
   struct LimitState {
-    double limit = 0;  ///< Requests a second; 0 for none.
+    double limit = 0;  ///< In requests per second; 0 for none.
     Instant observed_at{};
-    Instant last_used{};   ///< Told or asked about by any router.
-    double published = 0;  ///< As told to all routers.
+    Instant last_used{};   ///< When a router last reported the limit or requested tokens.
+    double published = 0;  ///< As last published to all routers.
     double tokens = 0;
     Instant refilled_at{};
   };
 
-  /// An instance that asks again soon after it got keys back is left without for longer each time.
+  /// An instance that backs off again soon after it got keys back is avoided for longer each time.
   struct Backoff {
     Instant avoid_until{};
-    Duration pause{};  ///< Added to the rest.
+    Duration pause{};  ///< Added to the requested back-off.
   };
 
   static void RefillTokens(LimitState& state, Instant now);
--- a/src/control/instance_liveness.h
+++ b/src/control/instance_liveness.h
@@ -1,5 +1,5 @@
 /// @file
-/// When the leader last heard of each instance.
+/// Tracks when the leader last received a heartbeat of each instance.
 #pragma once
 
 #include <map>
@@ -10,54 +10,59 @@
 
 namespace graniteseam::control {
 
-/// A hint, not a proof: an instance that is not heard of may still serve, cut off from control
-/// only. Not thread safe.
+/// A hint only: an instance without heartbeats may be partitioned from the control group and still
+/// serve requests. Not thread safe.
 class InstanceLiveness {
  public:
-  /// @param unreachable_after after which an instance gets nothing new.
-  /// @param now the start of a leadership: all instances count as heard then.
+  /// @param unreachable_after time without a heartbeat after which an instance is unreachable.
+  /// @param now the start of a leadership; all instances count as reachable at that time.
   InstanceLiveness(Duration unreachable_after, Instant now)
       : unreachable_after_(unreachable_after), start_(now) {}
 
+  /// Records the arrival of a heartbeat.
   void RecordHeartbeat(const traffic::InstanceId& id, Instant now) {
     HeardTimes& times = heard_.try_emplace(id, HeardTimes{now, {}, now}).first->second;
     if (now - times.last >= kDuplicateWithin) times.previous = times.last;
     times.last = now;
   }
 
+  /// Whether the time without a heartbeat exceeds the limit.
   bool IsUnreachable(const traffic::InstanceId& id, Instant now) const {
     return now - LastHeard(id).value_or(start_) > unreachable_after_;
   }
 
+  /// Whether a heartbeat arrived at `since` or later.
   bool HeardSince(const traffic::InstanceId& id, Instant since) const {
     const auto last = LastHeard(id);
     return last && *last >= since;
   }
 
-  /// Whether two heartbeats arrived since: one may have been on its way for long.
+  /// Whether two heartbeats arrived since then. A single one may have been delayed in transit.
   bool HeardTwiceSince(const traffic::InstanceId& id, Instant since) const {
     const auto found = heard_.find(id);
     return found != heard_.end() && found->second.previous >= since;
   }
 
-  /// In this leadership; nullopt when it was not heard of.
+  /// When the first heartbeat in this leadership arrived; nullopt if there was none.
   std::optional<Instant> FirstHeard(const traffic::InstanceId& id) const {
     const auto found = heard_.find(id);
     return found == heard_.end() ? std::nullopt : std::optional(found->second.first);
   }
+  /// When the last heartbeat in this leadership arrived; nullopt if there was none.
   std::optional<Instant> LastHeard(const traffic::InstanceId& id) const {
     const auto found = heard_.find(id);
     return found == heard_.end() ? std::nullopt : std::optional(found->second.last);
   }
 
  private:
-  /// A heartbeat that comes so soon after another one may be the same, sent again.
+  /// A heartbeat that follows another one within this time may be a resent copy of it.
   static constexpr Duration kDuplicateWithin{500'000};
 
-  /// When the heartbeats of an instance arrived.
+  /// Arrival times of an instance's heartbeats.
   struct HeardTimes {
     Instant first;
-    Instant previous;  ///< Before `last`, not a repetition of it; Instant{} for none.
+    Instant previous;  ///< The heartbeat before `last` that is not a copy of it; Instant{} for
+                       ///< none.
     Instant last;
   };
 
--- a/src/control/load_balancer.cc
+++ b/src/control/load_balancer.cc
@@ -17,7 +17,8 @@
 
 void LoadBalancer::Report(const std::vector<ShardLoad>& loads, Instant now) {
   for (const auto& load : loads) {
-    // Routers are trusted, but a shard that no service has would grow the tracker without bound.
+    // Ignores unknown shards: routers are trusted, but a shard that no service has would make the
+    // tracker grow without bound.
     if (load.shard.index >= state_.shards().ShardCount(load.shard.service)) continue;
     tracker_.Record(load.shard, load.requests, now);
   }
@@ -34,7 +35,8 @@
     if (service.kind != bundle::ServiceKind::kKeyed) continue;
     const std::size_t before = moves.size();
     PlanByLoad(service, healthy, now, moves);
-    // One reason to move at a time: a server that fills changes the loads of others.
+    // Filling is skipped while load causes moves, since filling a server changes the load of
+    // others.
     if (moves.size() == before) FillEmptyServers(service, healthy, now, moves);
   }
   return moves;
@@ -53,7 +55,7 @@
     const bool may_gain = record.AcceptsNewWork() && healthy(id);
     input.servers.push_back({id, record.zone, 1.0, may_gain});
   }
-  // Grouped by server, so that its name is looked up once and not for each shard.
+  // Grouped by server, so that each server is looked up once rather than for each shard.
   for (const auto& [id, position] : positions) {
     for (const auto& owned : state_.shards().OwnedBy(id)) {
       const auto estimate = tracker_.Estimate(owned.shard);
@@ -81,7 +83,7 @@
   const Instant since = joined == joined_.end() ? started_ : joined->second;
   if (now - since < options_.fill_delay) return 0;
   const std::size_t planned = state_.shards().PlannedCount(server);
-  // Once begun, filling goes on to the level; it begins only far below.
+  // Hysteresis: filling begins below half of the mean and continues up to the fill level.
   const bool filling = planned > state_.shards().OwnedCount(server);
   const double half = mean / 2;
   if (!filling && static_cast<double>(planned) >= half) return 0;
@@ -128,7 +130,7 @@
       servers.insert(std::move(donor));
       return placement::PlannedMove{owned.shard, owned.epoch, target};
     }
-    // One without a free shard is not asked again in this round.
+    // A server without a movable shard is not considered again in this round.
   }
   return std::nullopt;
 }
--- a/src/control/load_balancer.h
+++ b/src/control/load_balancer.h
@@ -1,5 +1,6 @@
 /// @file
-/// Moves shards to even out the load that routers report, and fills servers that joined empty.
+/// Moves shards to balance the load reported by routers, and to fill servers that joined without
+/// shards.
 #pragma once
 
 #include <map>
@@ -16,32 +17,35 @@
 
 namespace graniteseam::control {
 
+/// Settings of the load balancer.
 struct LoadBalancerOptions {
   placement::LoadTrackerOptions tracker;
   placement::PlannerOptions planner;
-  /// How often the load is looked at.
+  /// Interval of balancing rounds.
   Duration interval{500'000};
-  /// A server gets shards only after it has served this long: one that comes and goes costs none.
+  /// A server gets shards only after it has served this long, so that a server that leaves again
+  /// soon causes no moves.
   Duration fill_delay{5'000'000};
-  /// Shards that are on their way to one filling server at once.
+  /// Maximum number of concurrent shard moves to one server that is being filled.
   std::size_t fill_moves_maximum = 16;
-  /// A server is filled up to this part of the mean number of shards, from below half of it.
+  /// A server is filled up to this fraction of the mean number of shards, starting when it has less
+  /// than half of the mean.
   double fill_level = 0.9;
 };
 
-/// The control leader's view of load. Soft: a new leader starts empty and learns from renewals, and
-/// moves nothing by load before it has. Not thread safe; deterministic.
+/// The leader's view of the load. It is not replicated: a new leader starts without data, learns
+/// from renewals, and moves nothing by load before it has some. Not thread safe; deterministic.
 ///
-/// Each round costs one pass over the shards of the services that have load; between rounds work
-/// grows with what routers report.
+/// Each round makes one pass over the shards of the services that have load; between rounds the
+/// cost grows with the number of reports.
 class LoadBalancer {
  public:
-  /// @param state outlives the balancer.
+  /// @param state must outlive the balancer.
   LoadBalancer(LoadBalancerOptions options, const ReplicatedState& state, Instant now);
 
-  /// Takes what one router counted since its last renewal.
+  /// Records the load that one router measured since its last renewal.
   void Report(const std::vector<ShardLoad>& loads, Instant now);
-  /// Notes that a server began to serve.
+  /// Records that a server began to serve.
   void Joined(const ServerId& server, Instant now) { joined_[server] = now; }
 
   /// Moves to begin now; empty between rounds.
@@ -57,10 +61,11 @@
                                     const HealthCheck& healthy) const;
   void FillEmptyServers(const bundle::Service& service, const HealthCheck& healthy, Instant now,
                         std::vector<placement::PlannedMove>& moves);
-  /// Takes one shard of the server with the most shards, as long as it has more than the mean.
+  /// Selects a shard of the server with the most shards, as long as that has more than the mean.
   std::optional<placement::PlannedMove> TakeFromFullest(
       ServersByCount& servers, const ServerId& target, double mean,
       const std::vector<placement::PlannedMove>& taken) const;
+  /// Number of further moves to a server that is being filled.
   std::size_t MovesToFill(const ServerId& server, double mean, Instant now) const;
 
   LoadBalancerOptions options_;
--- a/src/control/membership_repair.cc
+++ b/src/control/membership_repair.cc
@@ -8,7 +8,7 @@
 using consensus::Member;
 using consensus::Membership;
 
-/// A member that answered within this is there.
+/// A member that answered within this time is reachable.
 constexpr Duration kReachableWithin{1'000'000};
 constexpr std::size_t kLearnersMaximum = 8;
 
@@ -25,7 +25,7 @@
   return status != nullptr && status->silence <= kReachableWithin;
 }
 
-/// Whether a learner is there and holds the log.
+/// Whether a learner is reachable and has caught up with the log.
 bool IsReadyToVote(const MembershipView& view, const Member& learner) {
   const consensus::PeerStatus* status = StatusOf(view, learner);
   return status != nullptr && status->caught_up && IsReachable(view, learner);
@@ -62,8 +62,8 @@
       voters.begin(), voters.end(), [&](const Member& voter) { return IsReachable(view, voter); }));
 }
 
-/// A voter that is over: another one of its id votes with a newer disk, or it is one too many and
-/// unreachable.
+/// An unreachable voter that can be removed: the group has more voters than wanted, and enough of
+/// them are reachable. This includes the former voter of a member that votes with a newer disk.
 const Member* SurplusVoter(const MembershipRepairOptions& options, const MembershipView& view) {
   const auto& voters = view.membership.voters;
   if (voters.size() <= options.voters || ReachableVoterCount(view) < options.voters) return nullptr;
@@ -72,24 +72,25 @@
   return unreachable == voters.end() ? nullptr : &*unreachable;
 }
 
-/// A voter whose machine came back with another disk that holds the log by now. What it was never
-/// answers again, so that without it a quorum needs no more of the others than with it. While both
-/// voted, the loss of the new disk would be the second of one machine: four votes of which two are
-/// gone for good never decide anything again.
+/// A voter whose machine returned with another disk that has caught up with the log. The former
+/// voter never answers again, so removing it does not increase the number of other voters that a
+/// quorum needs. If both voted, the loss of the new disk would be the second loss of one machine: a
+/// group of four voters of which two are permanently lost can't decide anything again.
 const Member* VoterWithReplacedDisk(const MembershipView& view) {
   const auto& voters = view.membership.voters;
-  const auto back = [&](const Member& voter) {
+  const auto has_ready_replacement = [&](const Member& voter) {
     const auto& learners = view.membership.learners;
     return !IsReachable(view, voter) &&
            std::any_of(learners.begin(), learners.end(), [&](const Member& learner) {
              return learner.id == voter.id && IsReadyToVote(view, learner);
            });
   };
-  const auto former = std::find_if(voters.begin(), voters.end(), back);
+  const auto former = std::find_if(voters.begin(), voters.end(), has_ready_replacement);
   return former == voters.end() ? nullptr : &*former;
 }
 
-/// Whether a voter's place is to be taken: its disk came back empty, or it is silent for long.
+/// Whether a voter needs a replacement: its disk came has_ready_replacement empty, or it has been
+/// unreachable for too long.
 bool NeedsReplacement(const MembershipRepairOptions& options, const MembershipView& view,
                       const Member& voter) {
   if (IsReachable(view, voter)) return false;
@@ -100,7 +101,7 @@
   return disk_lost || (status != nullptr && status->silence >= options.replace_after);
 }
 
-/// A learner that may vote.
+/// A learner that is ready to vote.
 const Member* ReadyLearner(const MembershipView& view) {
   const auto& learners = view.membership.learners;
   const auto ready = std::find_if(learners.begin(), learners.end(), [&](const Member& learner) {
@@ -123,7 +124,8 @@
   return WithPromoted(view.membership, *learner);
 }
 
-/// A process that is in no membership becomes a learner; a learner that lost its disk goes first.
+/// Admits an announced process as a learner. An existing learner with the same id, which lost its
+/// disk, is removed first.
 std::optional<Membership> Admission(const MembershipView& view) {
   for (const Member& member : view.announced) {
     const auto& learners = view.membership.learners;
--- a/src/control/membership_repair.h
+++ b/src/control/membership_repair.h
@@ -1,6 +1,6 @@
 /// @file
-/// Keeps a control group whole by itself: takes in processes that announce themselves and replaces
-/// voters that lost their disk or are gone. See docs/design/self-repair.md.
+/// Automatic repair of a control group's membership: admits processes that announce themselves, and
+/// replaces voters that lost their disk or are gone. See docs/design/self-repair.md.
 #pragma once
 
 #include <optional>
@@ -11,21 +11,23 @@
 
 namespace graniteseam::control {
 
-/// What a decision looks at.
+/// The inputs of a decision.
 struct MembershipView {
   consensus::Member self;
   consensus::Membership membership;
-  std::vector<consensus::PeerStatus> others;  ///< Each member but the leader itself.
-  std::vector<consensus::Member> announced;   ///< Processes in no membership, heard lately.
+  std::vector<consensus::PeerStatus> others;  ///< Each member except the leader itself.
+  std::vector<consensus::Member> announced;   ///< Processes outside the membership that announced
+                                              ///< themselves recently.
 };
 
-/// One step towards a whole group, or nullopt when there is nothing to do. Each step changes one
-/// member, as consensus asks for.
+/// The next membership on the way to a complete group; nullopt when there is nothing to do. Each
+/// step changes one member, as consensus requires.
 ///
-/// Invariant: a voter is removed only when as many voters as before remain that answer, or when it
-/// never answers again, so that repair never lowers what the group can lose. A disk that came back
-/// empty is another member: it votes only after it has caught up. Answers the failures: lost disk,
-/// lost machine, machine replaced at another address. Pure function of its inputs.
+/// Invariant: a voter is removed only if as many reachable voters as before remain, or if it will
+/// never answer again, so that repair never reduces the number of failures that the group
+/// tolerates. A member that returns with an empty disk is a different member and votes only after
+/// it has caught up. Handles a lost disk, a lost machine, and a machine that is replaced at another
+/// address. Pure function of its inputs.
 std::optional<consensus::Membership> NextMembership(const MembershipRepairOptions& options,
                                                     const MembershipView& view);
 
--- a/src/control/suspect_detector.cc
+++ b/src/control/suspect_detector.cc
@@ -8,24 +8,26 @@
 namespace {
 
 constexpr Duration kDecisionInterval{250'000};
-/// A heartbeat that arrives within this after a loss may have been sent before it: it is on its way
-/// for milliseconds, or for a follower's batch longer.
+/// A heartbeat that arrives within this time after a loss may have been sent before it. Transit
+/// takes milliseconds, or longer when a follower batches it.
 constexpr Duration kHeartbeatTransitMaximum{300'000};
-/// An instance that lives is heard of within this after a loss or another heartbeat: an interval of
-/// heartbeats (1.5 s on the deployments so far, drawn up to 1.7 s), the time above, and some more.
+/// A live instance sends a heartbeat within this time after a loss or another heartbeat: one
+/// heartbeat interval (1.5 s in current deployments, up to 1.7 s with jitter), the transit time
+/// above, and a margin.
 constexpr Duration kTerminationCertainAfter{2'500'000};
-/// Routers hear of a suspect and tell of its answers with their next poll, 0.5 s at most.
+/// Routers receive a suspect and report its answers with their next poll, within 0.5 s.
 constexpr Duration kAnswersReportedWithin{1'000'000};
-/// By then routers have found a new leader, and have told it twice or more of their answers.
+/// Time until routers have found a new leader and reported their answers to it at least twice.
 constexpr Duration kLeaderDiscoveryTime{2'000'000};
-/// How long a loss is remembered here and told by routers. A caller that is not served comes back
-/// within seconds; one that waits longer than this must end two more servers.
+/// How long a loss is kept here and reported by routers. A caller without an answer retries within
+/// seconds; a request retried after a longer pause has to terminate two more servers.
 constexpr Duration kLossRetention{60'000'000};
-/// Requests under way at instances that end together are a few a slot.
+/// Maximum number of tracked requests. Instances that terminate together have a few requests per
+/// slot in progress.
 constexpr std::size_t kRequestsMaximum = 4'096;
 constexpr std::size_t kLossesOfOneMaximum = 8;
-/// Instances from which on a request is recorded: one may be chance, and each recording is a
-/// message to all routers.
+/// Number of terminated instances from which a request is recorded. A single one may be a
+/// coincidence, and each recording is a message to all routers.
 constexpr std::size_t kTerminationsToRecord = 2;
 
 }  // namespace
@@ -37,7 +39,7 @@
 
 void SuspectDetector::TakeLoss(const traffic::LostAttempt& lost, Instant now) {
   const traffic::Instance* const instance = state_.instances().Find(lost.instance);
-  // One that leaves as planned ends whatever it runs.
+  // An instance that shuts down as planned terminates whatever it runs.
   const bool planned = instance == nullptr || instance->report.draining ||
                        instance->state == traffic::InstanceState::kDeregistered;
   if (planned) return;
@@ -73,7 +75,8 @@
   const Instant at = now - std::chrono::milliseconds(answered.answered_ms_ago);
   const auto found = histories_.find(answered.digest);
   const bool has_losses = found != histories_.end() && !found->second.losses.empty();
-  // What was answered before it ended its first instance may have changed since.
+  // An answer before the first loss does not clear the request, whose effect may have changed
+  // since.
   const Instant first = has_losses ? found->second.losses.front().lost_at : start_;
   RequestHistory& history = histories_[answered.digest];
   if (at <= first) {
@@ -88,7 +91,7 @@
 SuspectDetector::Fate SuspectDetector::FateOf(const Loss& loss, Instant now) const {
   const Instant since = loss.lost_at + kHeartbeatTransitMaximum;
   if (liveness_.HeardTwiceSince(loss.instance, since)) return Fate::kSurvived;
-  // A new leader has heard of nobody before its start.
+  // A new leader has received no heartbeats before its start.
   Instant from = std::max(loss.lost_at, start_);
   if (liveness_.HeardSince(loss.instance, since)) from = *liveness_.LastHeard(loss.instance);
   return now - from >= kTerminationCertainAfter ? Fate::kEnded : Fate::kUndecided;
@@ -99,12 +102,13 @@
     Instant now) const {
   Terminations terminations;
   std::vector<traffic::InstanceId>& instances = terminations.instances;
-  // When those recorded by an earlier leadership ended is not known: any answer may be newer. What
-  // is refused already is not answered any more.
+  // The termination times recorded by an earlier leadership are unknown, so any answer may be
+  // newer. A request that is already refused gets no new answers.
   const bool was_answered = history.answered_at != Instant{} ||
                             (history.answered_before && recorded && !recorded->Quarantined());
   if (recorded != nullptr && !was_answered) instances = recorded->ended;
-  // What was answered until another request came that never was: the other one is the cause.
+  // If this request was answered until another one appeared that never was, the other one is the
+  // cause.
   const auto attributed_elsewhere = [&](const traffic::InstanceId& instance) {
     return history.answered_before && blamed.contains(instance);
   };
@@ -119,10 +123,11 @@
       continue;
     }
     const bool is_new = counted == instances.end();
-    // Sent before the last one ended: both ends may have one cause, which is not this request.
+    // Sent before the previous instance terminated: both terminations may have one cause other than
+    // this request.
     if (is_new && loss.sent_at < last_termination) continue;
     last_termination = loss.lost_at;
-    // Those beyond the number that is wanted tell nothing more, and may be open for long.
+    // Instances beyond the required number add nothing and may stay undecided for long.
     if (is_new && instances.size() >= traffic::kEndedToQuarantine) continue;
     if (is_new) instances.push_back(loss.instance);
     if (fate == Fate::kUndecided) ++terminations.undecided;
@@ -161,7 +166,7 @@
   Terminations terminations = TerminationsUnder(recorded, history, blamed, now);
   const bool is_suspect = terminations.instances.size() >= kTerminationsToRecord;
   if (!is_suspect) {
-    if (recorded != nullptr) Clear(digest, "it was answered, or its servers live");
+    if (recorded != nullptr) Clear(digest, "it was answered, or its instances are alive");
     return;
   }
   const bool answers_reported =
@@ -170,8 +175,10 @@
   const bool certain = terminations.undecided <= 1;
   const bool quarantined = recorded != nullptr && recorded->Quarantined();
   const bool may_quarantine = quarantined || (answers_reported && certain);
-  const std::size_t told = may_quarantine ? traffic::kEndedToQuarantine : kTerminationsToRecord;
-  if (terminations.instances.size() > told) terminations.instances.resize(told);
+  const std::size_t count_to_record =
+      may_quarantine ? traffic::kEndedToQuarantine : kTerminationsToRecord;
+  if (terminations.instances.size() > count_to_record)
+    terminations.instances.resize(count_to_record);
   if (recorded != nullptr && recorded->ended == terminations.instances) return;
   Record(digest, std::move(terminations.instances));
 }
@@ -198,7 +205,8 @@
         recorded_states_.try_emplace(digest, RecordedState{0, now, now}).first->second;
     if (recorded_state.changed_at != suspect.changed_at) recorded_state.changed_since = now;
     recorded_state.changed_at = suspect.changed_at;
-    if (now - recorded_state.changed_since > traffic::kSuspectKept) Clear(digest, "it is long ago");
+    if (now - recorded_state.changed_since > traffic::kSuspectKept)
+      Clear(digest, "its retention period has ended");
   }
 }
 
--- a/src/control/suspect_detector.h
+++ b/src/control/suspect_detector.h
@@ -1,5 +1,6 @@
 /// @file
-/// Finds the requests under which instances end, from what routers lost and who is heard of.
+/// Detects requests that terminate instances, from the lost attempts that routers report and the
+/// liveness of instances.
 #pragma once
 
 #include <cstdint>
@@ -17,75 +18,82 @@
 
 namespace graniteseam::control {
 
-/// A request that ends each server which runs it comes back through any router, and would end one
-/// server after the other. Routers tell which attempts were lost at which instance; this counts
-/// the instances that ended under each request. One with two is recorded as a suspect, so that all
-/// routers tell when it was answered; one with three is refused from then on.
+/// A request that terminates every server that runs it is retried through any router and would
+/// terminate one server after another. Routers report which attempts were lost at which instance;
+/// this class counts the instances that terminated under each request. A request with two is
+/// recorded as a suspect, so that all routers report when it is answered; one with three is refused
+/// from then on.
 ///
-/// Invariants, each sparing requests that ended nothing: an instance counts only when it is silent
-/// after the loss and did not leave as planned; of instances that end together one counts, since
-/// the request was not sent again in between; losses before an answer do not count, and routers had
-/// the time to tell of one before a request is refused.
+/// Invariants, which protect innocent requests: an instance counts only if it is unreachable after
+/// the loss and did not shut down as planned; of instances that terminate together only one counts,
+/// since the request was not resent in between; losses before an answer do not count, and routers
+/// had the time to report an answer before a request is refused.
 ///
-/// Lives as long as one leadership: routers tell a new leader again what they lost. Bounded; what
-/// was lost long ago is forgotten. Not thread safe; `now` never goes back.
+/// Exists for one leadership: routers report their losses to a new leader again. Bounded; old
+/// losses are discarded. Not thread safe; `now` must not decrease.
 class SuspectDetector {
  public:
   /// @param now the start of the leadership.
   SuspectDetector(const traffic::TrafficState& state, const InstanceLiveness& liveness, Instant now)
       : state_(state), liveness_(liveness), start_(now) {}
 
+  /// Records the lost attempts and answered requests of a router's poll.
   void TakePoll(const traffic::TrafficPoll& poll, Instant now);
 
-  /// Adds what is to be recorded or cleared.
+  /// Appends the commands that record or clear suspects.
   void Decide(std::vector<CommandBody>& commands, Instant now);
 
-  /// What was decided since the last call.
+  /// Decisions since the last call, for the event log.
   std::vector<SuspectNote> TakeNotes() { return std::exchange(notes_, {}); }
 
-  /// When Decide() may have something to decide by itself.
+  /// When Decide() must be called next.
   Instant NextDue() const;
 
  private:
+  /// An attempt that was lost at an instance.
   struct Loss {
     traffic::InstanceId instance;
     Instant sent_at{};
     Instant lost_at{};
   };
-  /// What is known of one request.
+  /// The losses and answers of one request.
   struct RequestHistory {
-    std::vector<Loss> losses;      ///< One an instance, in the order of their times.
-    Instant answered_at{};         ///< Last, between losses; Instant{} for never.
-    bool answered_before = false;  ///< Lately, before the first of the losses.
+    std::vector<Loss> losses;      ///< At most one per instance, in time order.
+    Instant answered_at{};         ///< The latest answer after the first loss; Instant{} for none.
+    bool answered_before = false;  ///< Whether it was recently answered before the first of the
+                                   ///< losses.
   };
-  /// Since when a suspect is recorded, and recorded as it stands, as far as this leadership knows.
+  /// Times at which a suspect was first seen as recorded, and was last changed, as far as this
+  /// leadership has observed.
   struct RecordedState {
     std::uint64_t changed_at = 0;
     Instant recorded_since{};
     Instant changed_since{};
   };
-  /// Instances that ended under one request, one after the other.
+  /// Instances that terminated under one request, in time order.
   struct Terminations {
     std::vector<traffic::InstanceId> instances;
-    std::size_t undecided = 0;  ///< Of those, the ones whose end is not certain yet.
+    std::size_t undecided = 0;  ///< How many of them may still be alive.
   };
   using Instances = std::set<traffic::InstanceId>;
+  /// Whether an instance survived a lost attempt; kUndecided until the time limit.
   enum class Fate { kSurvived, kUndecided, kEnded };
 
   void TakeLoss(const traffic::LostAttempt& lost, Instant now);
-  /// Forgets a loss that tells nothing: its instance lives, or the attempt was sent before the one
-  /// before it was lost, as many copies of a request that comes often are.
-  /// @return false when each of them follows the one before it.
+  /// Makes room by removing a loss that carries no information: its instance is alive, or the
+  /// attempt was sent before the previous one was lost, which is common for concurrent copies of a
+  /// frequent request.
+  /// @return false when there is no such loss.
   bool MakeRoom(std::vector<Loss>& losses, Instant now) const;
   void TakeAnswer(const traffic::AnsweredRequest& answered, Instant now);
   void RemoveExpired(Instant now);
-  /// Whether an instance went down with an attempt that was lost at it.
+  /// Whether an instance terminated with an attempt that was lost at it.
   Fate FateOf(const Loss& loss, Instant now) const;
-  /// @param blamed instances that ended under other requests which were never answered.
+  /// @param blamed instances that terminated under other requests which were never answered.
   Terminations TerminationsUnder(const traffic::SuspectRequest* recorded,
                                  const RequestHistory& history, const Instances& blamed,
                                  Instant now) const;
-  /// Instances that ended under suspects which were never answered.
+  /// Instances that terminated under suspects which were never answered.
   Instances InstancesBlamedOnUnanswered(Instant now) const;
   void DecideOn(traffic::RequestDigest digest, const RequestHistory& history,
                 const Instances& blamed, Instant now);
@@ -98,8 +106,8 @@
   const Instant start_;
   std::map<traffic::RequestDigest, RequestHistory> histories_;
   std::map<traffic::RequestDigest, RecordedState> recorded_states_;
-  std::vector<traffic::SuspectRequest> recorded_;  ///< By the Decide() under way.
-  std::vector<traffic::RequestDigest> cleared_;    ///< The same.
+  std::vector<traffic::SuspectRequest> recorded_;  ///< Collected by the current Decide() call.
+  std::vector<traffic::RequestDigest> cleared_;    ///< Collected by the current Decide() call.
   std::vector<SuspectNote> notes_;
   Instant decision_due_{};
 };
--- a/tests/control/configuration_rollout_test.cc
+++ b/tests/control/configuration_rollout_test.cc
@@ -57,7 +57,7 @@
   const auto behind = fixture.Evaluate(kStart + 1'000 * kMs);
   cr_assert(Count(behind, "router_behind") == 1);
   cr_assert(behind.front().router == RouterId{"r-2"});
-  cr_assert(behind.front().inputs.starts_with("told version 10, heard 1000 ms"));
+  cr_assert(behind.front().inputs.starts_with("reported version 10, last poll 1000 ms"));
   cr_assert(fixture.Evaluate(kStart + 2'000 * kMs).empty());
   fixture.rollout.RecordPoll({"r-2"}, kSent, kStart + 2'500 * kMs);
   cr_assert(Count(fixture.rollout.TakeNotes(), "router_caught_up") == 1);
