--- a/src/control/control_node_requests.cc
+++ b/src/control/control_node_requests.cc
@@ -1,5 +1,5 @@
 /// @file
-/// ControlNode's answers to routers and operators.
+/// ControlNode's handling of router and operator requests.
 
 #include <chrono>
 #include <type_traits>
@@ -11,9 +11,9 @@
 namespace graniteseam::control {
 namespace {
 
-/// A process that knew no leader for longer acknowledges nothing: it may be cut off, and a group
-/// that has lost its leader elects the next one sooner.
-constexpr Duration kLeaderMissed{1'500'000};
+/// A process that has known no leader for longer than this acknowledges no heartbeats: it may be
+/// partitioned from its group, since a group that lost its leader elects the next one sooner.
+constexpr Duration kLeaderLostAfter{1'500'000};
 
 }  // namespace
 
@@ -80,7 +80,7 @@
 
 void ControlNode::Impl::OnTokenRequest(ConnectionId connection, const TokenRequest& request,
                                        Instant now) {
-  // Under the leader lease only: an earlier leader's tokens and a later one's would add up.
+  // Requires the leader lease: otherwise the tokens of two leaders would add up.
   if (!Leading(now) || !leadership_) {
     SendNotLeader(connection, request.sequence);
     return;
@@ -95,8 +95,8 @@
 }
 
 std::string ControlNode::Impl::FeedFor(const TrafficPoll& poll, Instant now) {
-  if (feed_choice_.IsDue(now)) feed_choice_.Take(consensus_.self(), consensus_.peers(now), now);
-  return feed_choice_.For(poll.router, poll.zone, poll.feeds_tried);
+  if (feed_selector_.IsDue(now)) feed_selector_.Take(consensus_.self(), consensus_.peers(now), now);
+  return feed_selector_.SelectFeed(poll.router, poll.zone, poll.feeds_tried);
 }
 
 bool ControlNode::Impl::FollowsLeader() const {
@@ -106,16 +106,16 @@
 bool ControlNode::Impl::RelayHeartbeat(RequestId request, const ReportInstance& heartbeat,
                                        Instant now) {
   if (stopping_ || consensus_.role() == consensus::Role::kLeader) return false;
-  const bool lately = FollowsLeader() || now - leader_known_at_ < kLeaderMissed;
-  using Taken = HeartbeatRelayer::Taken;
-  const Taken taken = relayer_.Take(request, heartbeat, lately, now);
-  if (taken == Taken::kAcknowledged) Reply(request, Accepted{state_.applied()});
-  return taken != Taken::kRefused;
+  const bool leader_known_recently = FollowsLeader() || now - leader_known_at_ < kLeaderLostAfter;
+  using Disposition = HeartbeatRelayer::Disposition;
+  const Disposition disposition = relayer_.Take(request, heartbeat, leader_known_recently, now);
+  if (disposition == Disposition::kAcknowledged) Reply(request, Accepted{state_.applied()});
+  return disposition != Disposition::kRefused;
 }
 
-void ControlNode::Impl::FollowRelay(Instant now) {
+void ControlNode::Impl::ProcessRelay(Instant now) {
   if (FollowsLeader()) {
-    const auto done = relayer_.TakeDone(now);
+    const auto done = relayer_.TakeCompleted(now);
     for (const RequestId request : done.acknowledged) Reply(request, Accepted{state_.applied()});
     for (const RequestId request : done.refused) Reply(request, NotLeaderError());
   }
@@ -136,25 +136,25 @@
   if (!leadership_ || !message.to.SameVoteAs(consensus_.self())) return;
   const auto& relay = std::get<consensus::HeartbeatRelay>(message.payload);
   for (const std::string& id : relay.instances) {
-    leadership_->traffic.liveness().Heard({id}, now);
+    leadership_->traffic.liveness().RecordHeartbeat({id}, now);
   }
   if (!relay.changes.empty()) TakeRelayedChanges(relay.changes, now);
 }
 
-/// What can not be proposed now is told again by the member that it came from.
+/// Changes that can't be proposed now are resent by the member that relayed them.
 void ControlNode::Impl::TakeRelayedChanges(const std::string& changes, Instant now) {
   const auto decoded = Attempt([&] { return DecodeCommand(changes); });
   const auto* body = std::get_if<CommandBody>(&decoded);
   const auto* command = body == nullptr ? nullptr : std::get_if<ReportInstancesCommand>(body);
   if (command == nullptr) {
     effects_.faults.push_back({ErrorKind::kMalformedMessage,
-                               "A member's relay of heartbeats can not be read.",
+                               "Heartbeat changes relayed by a group member could not be decoded.",
                                "Run the same release on all members."});
     return;
   }
   ReportInstancesCommand fresh;
   for (const traffic::InstanceReport& report : command->reports) {
-    leadership_->traffic.liveness().Heard(report.id, now);
+    leadership_->traffic.liveness().RecordHeartbeat(report.id, now);
     if (state_.traffic().instances().WouldChange(report)) fresh.reports.push_back(report);
   }
   if (!fresh.reports.empty()) Propose({fresh}, now);
@@ -162,7 +162,7 @@
 
 void ControlNode::Impl::OnHeartbeat(RequestId request, const ReportInstance& heartbeat,
                                     Instant now) {
-  leadership_->traffic.liveness().Heard(heartbeat.report.id, now);
+  leadership_->traffic.liveness().RecordHeartbeat(heartbeat.report.id, now);
   if (!state_.traffic().instances().WouldChange(heartbeat.report)) {
     ReplyToHeartbeat(request, heartbeat, state_.applied(), now);
     return;
@@ -177,8 +177,8 @@
 
 void ControlNode::Impl::ReplyToHeartbeat(RequestId request, const ReportInstance& heartbeat,
                                          LogIndex index, Instant now) {
-  // Invariant: leases are given under the leader lease only. A later leader counts what this one
-  // may have given from its own election on.
+  // Invariant: leases are granted only under the leader lease. A later leader accounts for the
+  // leases that this one may have granted, starting with its own election.
   std::optional<KeyLeases> leases;
   if (Leading(now) && leadership_) {
     leases = leadership_->traffic.ranges().TakeHeartbeat(heartbeat, now);
@@ -242,7 +242,7 @@
   const auto proposed = Attempt([&] {
     return consensus_.ProposeMembership(std::get<consensus::Membership>(step), now, effects);
   });
-  Absorb(std::move(effects), now);
+  HandleConsensusEffects(std::move(effects), now);
   if (const Error* error = ErrorOf(proposed)) {
     Reply(request, *error);
   } else {
--- a/src/control/displacement.cc
+++ b/src/control/displacement.cc
@@ -3,7 +3,8 @@
 namespace graniteseam::control {
 namespace {
 
-/// The later life of a displaced instance, or else who is at its address; null when there is none.
+/// The later incarnation of a displaced instance, otherwise the current holder of its address; null
+/// when there is neither.
 const traffic::Instance* SuccessorOf(const traffic::InstanceTable& instances,
                                      const traffic::Instance& displaced) {
   if (displaced.state != traffic::InstanceState::kDisplaced) return nullptr;
@@ -12,39 +13,40 @@
   return is_other ? later : instances.FindByAddress(displaced.report.address);
 }
 
-/// Whether what was sent to one instance would be taken by the other: same name, same address.
-bool TakesItsOrders(const traffic::Instance& later, const traffic::Instance& former) {
+/// Whether `later` accepts orders that were sent to `former`: same name and same address.
+bool AcceptsOrdersOf(const traffic::Instance& later, const traffic::Instance& former) {
   return later.report.address == former.report.address &&
          traffic::ServerNameOf(later.report.id) == traffic::ServerNameOf(former.report.id);
 }
 
 }  // namespace
 
-bool EndIsProven(const traffic::InstanceTable& instances, const InstanceLiveness& liveness,
-                 const traffic::InstanceId& id) {
+bool HasProvablyEnded(const traffic::InstanceTable& instances, const InstanceLiveness& liveness,
+                      const traffic::InstanceId& id) {
   const traffic::Instance* const displaced = instances.Find(id);
   if (displaced == nullptr) return false;
   const traffic::Instance* const successor = SuccessorOf(instances, *displaced);
-  if (successor == nullptr || TakesItsOrders(*successor, *displaced)) return false;
+  if (successor == nullptr || AcceptsOrdersOf(*successor, *displaced)) return false;
   const auto displaced_heard = liveness.FirstHeard(id);
   const auto successor_heard = liveness.FirstHeard(successor->report.id);
   return displaced_heard && successor_heard &&
-         *successor_heard - *displaced_heard > kHeartbeatLateMaximum;
+         *successor_heard - *displaced_heard > kHeartbeatDelayMaximum;
 }
 
-std::vector<Forerunner> Forerunners(const traffic::InstanceTable& instances,
-                                    const InstanceLiveness& liveness, Instant now) {
-  std::vector<Forerunner> forerunners;
+std::vector<StaleAddressHolder> FindStaleAddressHolders(const traffic::InstanceTable& instances,
+                                                        const InstanceLiveness& liveness,
+                                                        Instant now) {
+  std::vector<StaleAddressHolder> stale_holders;
   for (const auto& [id, instance] : instances.instances()) {
     const traffic::Instance* const successor = SuccessorOf(instances, instance);
-    if (successor == nullptr || !liveness.Silent(successor->report.id, now)) continue;
+    if (successor == nullptr || !liveness.IsUnreachable(successor->report.id, now)) continue;
     const auto displaced_heard = liveness.LastHeard(id);
     const auto successor_heard = liveness.FirstHeard(successor->report.id);
     if (!displaced_heard || !successor_heard) continue;
-    if (*displaced_heard - *successor_heard <= kHeartbeatLateMaximum) continue;
-    forerunners.push_back({successor->report.id, instance.report});
+    if (*displaced_heard - *successor_heard <= kHeartbeatDelayMaximum) continue;
+    stale_holders.push_back({successor->report.id, instance.report});
   }
-  return forerunners;
+  return stale_holders;
 }
 
 }  // namespace graniteseam::control
--- a/src/control/membership_keeper.cc
+++ b/src/control/membership_repair.cc
@@ -1,4 +1,4 @@
-#include "src/control/membership_keeper.h"
+#include "src/control/membership_repair.h"
 
 #include <algorithm>
 
@@ -8,8 +8,8 @@
 using consensus::Member;
 using consensus::Membership;
 
-/// A member that answered within this is there.
-constexpr Duration kPresent{1'000'000};
+/// A member that answered within this time is reachable.
+constexpr Duration kReachableWithin{1'000'000};
 constexpr std::size_t kLearnersMaximum = 8;
 
 const consensus::PeerStatus* StatusOf(const MembershipView& view, const Member& member) {
@@ -19,16 +19,16 @@
   return found == view.others.end() ? nullptr : &*found;
 }
 
-bool Present(const MembershipView& view, const Member& member) {
+bool IsReachable(const MembershipView& view, const Member& member) {
   if (member.SameVoteAs(view.self)) return true;
   const consensus::PeerStatus* status = StatusOf(view, member);
-  return status != nullptr && status->silence <= kPresent;
+  return status != nullptr && status->silence <= kReachableWithin;
 }
 
-/// Whether a learner is there and holds the log.
-bool Ready(const MembershipView& view, const Member& learner) {
+/// Whether a learner is reachable and has caught up with the log.
+bool IsReadyToVote(const MembershipView& view, const Member& learner) {
   const consensus::PeerStatus* status = StatusOf(view, learner);
-  return status != nullptr && status->caught_up && Present(view, learner);
+  return status != nullptr && status->caught_up && IsReachable(view, learner);
 }
 
 void Erase(std::vector<Member>& members, const Member& gone) {
@@ -56,43 +56,44 @@
   return membership;
 }
 
-std::size_t PresentVoters(const MembershipView& view) {
+std::size_t ReachableVoterCount(const MembershipView& view) {
   const auto& voters = view.membership.voters;
   return static_cast<std::size_t>(std::count_if(
-      voters.begin(), voters.end(), [&](const Member& voter) { return Present(view, voter); }));
+      voters.begin(), voters.end(), [&](const Member& voter) { return IsReachable(view, voter); }));
 }
 
-/// A voter that is over: another one of its id votes with a newer disk, or it is one too many and
-/// silent.
-const Member* SurplusVoter(const MembershipKeeperOptions& options, const MembershipView& view) {
+/// An unreachable voter that can be removed: the group has more voters than wanted, and enough of
+/// them are reachable. This includes the former voter of a member that votes with a newer disk.
+const Member* SurplusVoter(const MembershipRepairOptions& options, const MembershipView& view) {
   const auto& voters = view.membership.voters;
-  if (voters.size() <= options.voters || PresentVoters(view) < options.voters) return nullptr;
-  const auto silent = std::find_if(voters.begin(), voters.end(),
-                                   [&](const Member& voter) { return !Present(view, voter); });
-  return silent == voters.end() ? nullptr : &*silent;
+  if (voters.size() <= options.voters || ReachableVoterCount(view) < options.voters) return nullptr;
+  const auto unreachable = std::find_if(
+      voters.begin(), voters.end(), [&](const Member& voter) { return !IsReachable(view, voter); });
+  return unreachable == voters.end() ? nullptr : &*unreachable;
 }
 
-/// A voter whose machine came back with another disk that holds the log by now. What it was never
-/// answers again, so that without it a quorum needs no more of the others than with it. While both
-/// voted, the loss of the new disk would be the second of one machine: four votes of which two are
-/// gone for good never decide anything again.
-const Member* FormerSelf(const MembershipView& view) {
+/// A voter whose machine returned with another disk that has caught up with the log. The former
+/// voter never answers again, so removing it does not increase the number of other voters that a
+/// quorum needs. If both voted, the loss of the new disk would be the second loss of one machine: a
+/// group of four voters of which two are permanently lost can't decide anything again.
+const Member* VoterWithReplacedDisk(const MembershipView& view) {
   const auto& voters = view.membership.voters;
-  const auto back = [&](const Member& voter) {
+  const auto has_ready_replacement = [&](const Member& voter) {
     const auto& learners = view.membership.learners;
-    return !Present(view, voter) &&
+    return !IsReachable(view, voter) &&
            std::any_of(learners.begin(), learners.end(), [&](const Member& learner) {
-             return learner.id == voter.id && Ready(view, learner);
+             return learner.id == voter.id && IsReadyToVote(view, learner);
            });
   };
-  const auto former = std::find_if(voters.begin(), voters.end(), back);
+  const auto former = std::find_if(voters.begin(), voters.end(), has_ready_replacement);
   return former == voters.end() ? nullptr : &*former;
 }
 
-/// Whether a voter's place is to be taken: its disk came back empty, or it is silent for long.
-bool NeedsReplacement(const MembershipKeeperOptions& options, const MembershipView& view,
+/// Whether a voter needs a replacement: its disk came has_ready_replacement empty, or it has been
+/// unreachable for too long.
+bool NeedsReplacement(const MembershipRepairOptions& options, const MembershipView& view,
                       const Member& voter) {
-  if (Present(view, voter)) return false;
+  if (IsReachable(view, voter)) return false;
   const auto& learners = view.membership.learners;
   const bool disk_lost = std::any_of(learners.begin(), learners.end(),
                                      [&](const Member& one) { return one.id == voter.id; });
@@ -100,15 +101,16 @@
   return disk_lost || (status != nullptr && status->silence >= options.replace_after);
 }
 
-/// A learner that may vote.
+/// A learner that is ready to vote.
 const Member* ReadyLearner(const MembershipView& view) {
   const auto& learners = view.membership.learners;
-  const auto ready = std::find_if(learners.begin(), learners.end(),
-                                  [&](const Member& learner) { return Ready(view, learner); });
+  const auto ready = std::find_if(learners.begin(), learners.end(), [&](const Member& learner) {
+    return IsReadyToVote(view, learner);
+  });
   return ready == learners.end() ? nullptr : &*ready;
 }
 
-std::optional<Membership> Promotion(const MembershipKeeperOptions& options,
+std::optional<Membership> Promotion(const MembershipRepairOptions& options,
                                     const MembershipView& view) {
   const Member* learner = ReadyLearner(view);
   if (learner == nullptr) return std::nullopt;
@@ -122,7 +124,8 @@
   return WithPromoted(view.membership, *learner);
 }
 
-/// A process that is in no membership becomes a learner; a learner that lost its disk goes first.
+/// Admits an announced process as a learner. An existing learner with the same id, which lost its
+/// disk, is removed first.
 std::optional<Membership> Admission(const MembershipView& view) {
   for (const Member& member : view.announced) {
     const auto& learners = view.membership.learners;
@@ -137,18 +140,19 @@
 
 }  // namespace
 
-std::optional<Membership> NextMembership(const MembershipKeeperOptions& options,
+std::optional<Membership> NextMembership(const MembershipRepairOptions& options,
                                          const MembershipView& view) {
   if (!options.enabled) return std::nullopt;
   if (const Member* surplus = SurplusVoter(options, view)) {
     return WithoutVoter(view.membership, *surplus);
   }
-  if (const Member* former = FormerSelf(view)) return WithoutVoter(view.membership, *former);
+  if (const Member* former = VoterWithReplacedDisk(view))
+    return WithoutVoter(view.membership, *former);
   if (auto promoted = Promotion(options, view)) return promoted;
   if (auto admitted = Admission(view)) return admitted;
   for (const Member& learner : view.membership.learners) {
     const consensus::PeerStatus* status = StatusOf(view, learner);
-    if (status != nullptr && status->silence >= options.forget_learner_after) {
+    if (status != nullptr && status->silence >= options.remove_learner_after) {
       return WithoutLearner(view.membership, learner);
     }
   }
--- /dev/null
+++ b/src/control/membership_repair.h
@@ -0,0 +1,34 @@
+/// @file
+/// Automatic repair of a control group's membership: admits processes that announce themselves, and
+/// replaces voters that lost their disk or are gone. See docs/design/self-repair.md.
+#pragma once
+
+#include <optional>
+#include <vector>
+
+#include "graniteseam/consensus/raft_consensus.h"
+#include "graniteseam/control/traffic_options.h"
+
+namespace graniteseam::control {
+
+/// The inputs of a decision.
+struct MembershipView {
+  consensus::Member self;
+  consensus::Membership membership;
+  std::vector<consensus::PeerStatus> others;  ///< Each member except the leader itself.
+  std::vector<consensus::Member> announced;   ///< Processes outside the membership that announced
+                                              ///< themselves recently.
+};
+
+/// The next membership on the way to a complete group; nullopt when there is nothing to do. Each
+/// step changes one member, as consensus requires.
+///
+/// Invariant: a voter is removed only if as many reachable voters as before remain, or if it will
+/// never answer again, so that repair never reduces the number of failures that the group
+/// tolerates. A member that returns with an empty disk is a different member and votes only after
+/// it has caught up. Handles a lost disk, a lost machine, and a machine that is replaced at another
+/// address. Pure function of its inputs.
+std::optional<consensus::Membership> NextMembership(const MembershipRepairOptions& options,
+                                                    const MembershipView& view);
+
+}  // namespace graniteseam::control
--- a/src/control/range_controller.cc
+++ b/src/control/range_controller.cc
@@ -28,7 +28,7 @@
 constexpr std::size_t kOrdersAtOnce = 16;
 constexpr Duration kOrdersPause{12'000};
 /// How long the sequence of an instance that is gone is kept: longer than a heartbeat may be late.
-constexpr Duration kHolderKept = 6 * kHeartbeatLateMaximum;
+constexpr Duration kHolderKept = 6 * kHeartbeatDelayMaximum;
 /// Part of an owner's capacity up to which a hot key's requests are let in: somewhat more than all
 /// of it, so that it stays full though they come unevenly.
 constexpr double kFilled = 1.1;
@@ -71,7 +71,7 @@
   for (const auto& [service, ranges] : state_.ranges().services()) {
     const bool by_heartbeat = LeasedByHeartbeat(service);
     const Duration length = by_heartbeat ? options_.lease_length : options_.hold;
-    const Instant given = by_heartbeat ? now : now + options_.order_sent_within;
+    const Instant given = by_heartbeat ? now : now + options_.order_send_timeout;
     for (const auto& [first, range] : ranges) {
       if (range.phase == RangePhase::kUnowned) continue;
       NoteGrant(range.owner, service, range.span, EndOfGrant(length, given));
@@ -273,15 +273,15 @@
   if (care.released) return care.handover.empty() ? "released" : "released with a handover";
   if (care.refused) return "the fence was refused";
   if (replaced_.contains(range.owner)) return "another process answered at its address";
-  const bool displaced = EndIsProven(state_.instances(), liveness_, range.owner);
+  const bool displaced = HasProvablyEnded(state_.instances(), liveness_, range.owner);
   return displaced ? "another instance reported from its address" : "the last lease ran out";
 }
 
 bool RangeController::HasEnded(const traffic::InstanceId& instance) const {
   const auto replaced = replaced_.find(instance);
-  if (replaced == replaced_.end()) return EndIsProven(state_.instances(), liveness_, instance);
+  if (replaced == replaced_.end()) return HasProvablyEnded(state_.instances(), liveness_, instance);
   // Whoever is heard of for so long after that answer lives: the answer was wrong.
-  return !liveness_.HeardSince(instance, replaced->second + kHeartbeatLateMaximum);
+  return !liveness_.HeardSince(instance, replaced->second + kHeartbeatDelayMaximum);
 }
 
 std::vector<CommandBody> RangeController::Decide(Instant now) {
@@ -338,11 +338,11 @@
   const bool by_heartbeat = LeasedByHeartbeat(service);
   for (const auto& [id, instance] : state_.instances().instances()) {
     const bool fits = instance.report.service == service && instance.TakesNewWork();
-    if (!fits || liveness_.Silent(id, now) || Unresponsive(id, now)) continue;
+    if (!fits || liveness_.IsUnreachable(id, now) || Unresponsive(id, now)) continue;
     if (avoided.contains(id) || HasEnded(id)) continue;
     if (by_heartbeat && !HeardLately(id, now)) continue;
     const double slots = static_cast<double>(std::max<std::int64_t>(1, instance.report.slots));
-    const bool spared = options_.spares_warming_up && instance.IsWarmingUp();
+    const bool spared = options_.excludes_warming_up && instance.IsWarmingUp();
     RangeCandidate& candidate = (spared ? warming_up : candidates).emplace_back();
     candidate.id = id;
     candidate.zone = instance.report.zone;
@@ -353,7 +353,7 @@
     candidate.heartbeat_interval = holder.interval;
   }
   if (candidates.empty()) candidates = std::move(warming_up);
-  speeds_.Scale(candidates);
+  speeds_.ScaleSlots(candidates);
   BoundByLimits(service, candidates);
   return candidates;
 }
@@ -391,7 +391,7 @@
   if (failing == failing_since_.end()) return false;
   // One heartbeat since then may have been sent before the instance ended.
   const bool still_heard =
-      liveness_.HeardSince(instance, failing->second) && !liveness_.Silent(instance, now);
+      liveness_.HeardSince(instance, failing->second) && !liveness_.IsUnreachable(instance, now);
   return now - failing->second > options_.unresponsive_after && !still_heard;
 }
 
@@ -502,7 +502,7 @@
     order.handover = range.handover;
     order.limit = options_.grant_limit;
   }
-  order.not_after = now + options_.order_sent_within;
+  order.not_after = now + options_.order_send_timeout;
   order.number = last_number_ = last_number_.Next();
   return order;
 }
