--- a/include/graniteseam/bundle/bundle_store.h
+++ b/include/graniteseam/bundle/bundle_store.h
@@ -141,8 +141,8 @@
  private:
   Result<StoredBundle*> Find(BundleVersion version, const std::string& digest);
   Result<void> CheckNotBelowInForce(BundleVersion version) const;
-  Result<void> CheckFixedParts(const Bundle& bundle) const;
-  Result<void> MakeRoom(std::size_t source_bytes);
+  Result<void> CheckImmutableFields(const Bundle& bundle) const;
+  Result<void> EvictOldBundles(std::size_t source_bytes);
   std::size_t SourceBytes() const;
 
   BundleStoreLimits limits_;
--- a/include/graniteseam/codec/value_binding.h
+++ b/include/graniteseam/codec/value_binding.h
@@ -20,7 +20,7 @@
 
 /// Counts the memory that array elements take in the decoding under way on this thread.
 /// @return 0, or an avro-c error code when the decoding has used up its budget.
-int ChargeDecoding(std::size_t bytes);
+int ChargeDecodeBudget(std::size_t bytes);
 
 /// Copies the bytes of an avro-c buffer and frees it.
 std::string TakeBuffer(avro_wrapped_buffer_t* buffer);
@@ -186,7 +186,7 @@
     return 0;
   };
   methods.append = [](const Interface*, void* self, avro_value_t* child, std::size_t* index) {
-    if (const int fault = ChargeDecoding(sizeof(Element))) return fault;
+    if (const int fault = ChargeDecodeBudget(sizeof(Element))) return fault;
     auto& vector = Self<T>(self);
     Bind(vector.emplace_back(), child);
     if (index != nullptr) *index = vector.size() - 1;
--- a/include/graniteseam/consensus/raft_consensus.h
+++ b/include/graniteseam/consensus/raft_consensus.h
@@ -21,7 +21,7 @@
   Duration leader_lease{200'000};
   /// Within this the other members hear of a commit, also when nothing follows it. 0: with the next
   /// entries or heartbeat, which is soon enough for members that only keep the log.
-  Duration commit_told_within{0};
+  Duration commit_notification_delay{0};
   std::size_t append_bytes_maximum = 1 << 20;
   std::size_t snapshot_chunk_bytes = 1 << 18;
   std::size_t entries_kept_after_snapshot = 1'000;
@@ -69,8 +69,8 @@
 /// What a leader knows of another member.
 struct PeerStatus {
   Member member;
-  Duration silence{};      ///< Since it last answered, or since this leadership began.
-  bool caught_up = false;  ///< Holds what was committed at the start of the newest round.
+  Duration time_since_response{};  ///< Since it last answered, or since this leadership began.
+  bool caught_up = false;          ///< Holds what was committed at the start of the newest round.
 };
 
 /// One member of one replicated log.
--- a/include/graniteseam/consensus/types.h
+++ b/include/graniteseam/consensus/types.h
@@ -25,7 +25,7 @@
   ZoneName zone;
 
   auto operator<=>(const Member&) const = default;
-  bool SameVoteAs(const Member& other) const { return id == other.id && disk == other.disk; }
+  bool IsSameMemberAs(const Member& other) const { return id == other.id && disk == other.disk; }
 };
 BOOST_DESCRIBE_STRUCT(Member, (), (id, disk, address, zone))
 
--- a/include/graniteseam/operation/operation_journal.h
+++ b/include/graniteseam/operation/operation_journal.h
@@ -123,14 +123,14 @@
   /// How much a state says about the operation; completions only ever raise it.
   static int Rank(OperationState state);
 
-  ClaimVerdict ClaimKnown(Entry& entry, const ClaimRequest& request, bool too_old) const;
+  ClaimVerdict ClaimExisting(Entry& entry, const ClaimRequest& request, bool too_old) const;
   ClaimVerdict ClaimNew(ServiceJournal& journal, const OperationKey& key,
                         const ClaimRequest& request, std::int64_t retention_ms,
                         std::int64_t wall_ms);
   void KeepAnswer(ServiceJournal& journal, const OperationKey& key, Entry& entry,
                   const std::optional<KeptAnswer>& answer);
   void DropAnswer(ServiceJournal& journal, const OperationKey& key, Entry& entry);
-  void MakeRoomForAnswers();
+  void EvictAnswers();
 
   JournalLimits limits_;
   std::map<ServiceName, ServiceJournal> services_;
--- a/src/bundle/bundle_parser.cc
+++ b/src/bundle/bundle_parser.cc
@@ -168,11 +168,11 @@
   }
 
   /// Adds a fault for each key that nothing asked for. Call it last.
-  void RefuseUnknownKeys() {
+  void ReportUnknownKeys() {
     for (const auto& [key, node] : table_) {
-      if (asked_.contains(key.str())) continue;
+      if (requested_keys_.contains(key.str())) continue;
       std::string known;
-      for (const auto& name : asked_) known += (known.empty() ? "" : ", ") + name;
+      for (const auto& name : requested_keys_) known += (known.empty() ? "" : ", ") + name;
       faults_.Add(key.source(), Path(key.str()), "The key is not known.",
                   "Use one of: " + known + ".");
     }
@@ -182,7 +182,7 @@
   std::string Path(std::string_view key) const {
     return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
   }
-  void Ask(std::string_view key) { asked_.emplace(key); }
+  void Ask(std::string_view key) { requested_keys_.emplace(key); }
 
   template <class T>
   std::optional<T> Require(std::string_view key, const std::string& what) {
@@ -213,7 +213,7 @@
   const toml::table& table_;
   std::string path_;
   FaultList& faults_;
-  std::set<std::string, std::less<>> asked_;
+  std::set<std::string, std::less<>> requested_keys_;
 };
 
 PlacementWeights ReadWeights(TableReader reader) {
@@ -224,7 +224,7 @@
   if (weights.unavailability + weights.churn + weights.imbalance <= 0) {
     reader.Fault("unavailability", "All weights are 0.", "Give at least one a weight above 0.");
   }
-  reader.RefuseUnknownKeys();
+  reader.ReportUnknownKeys();
   return weights;
 }
 
@@ -303,7 +303,7 @@
                  "Give more than " + std::to_string(service.deadline_maximum_ms) + ".");
   }
   service.weights = ReadWeights(reader.Subtable("weights"));
-  reader.RefuseUnknownKeys();
+  reader.ReportUnknownKeys();
   return service;
 }
 
@@ -335,7 +335,7 @@
   if (group.share <= 0) reader.Fault("share", "A share of 0 is none.", "Give more than 0.");
   group.queue_maximum = static_cast<std::uint32_t>(
       reader.Integer("queue_maximum", group.queue_maximum, 0, kQueueMaximum));
-  reader.RefuseUnknownKeys();
+  reader.ReportUnknownKeys();
   return group;
 }
 
@@ -358,7 +358,7 @@
   reader.ForEachTable("groups", [&](const std::string& name, const TableReader& group) {
     bundle.groups.push_back(ReadGroup(name, group, bundle));
   });
-  reader.RefuseUnknownKeys();
+  reader.ReportUnknownKeys();
   return bundle;
 }
 
--- a/src/bundle/bundle_store.cc
+++ b/src/bundle/bundle_store.cc
@@ -48,8 +48,8 @@
     return Fail(ErrorKind::kTooLarge, "The bundle's text is too large.",
                 "Shorten it to " + std::to_string(limits_.source_bytes_maximum) + " bytes.");
   }
-  BOOST_LEAF_CHECK(CheckFixedParts(bundle));
-  BOOST_LEAF_CHECK(MakeRoom(source_text.size()));
+  BOOST_LEAF_CHECK(CheckImmutableFields(bundle));
+  BOOST_LEAF_CHECK(EvictOldBundles(source_text.size()));
   BundleRecord record{bundle.version,          digest,     bundle.author, "",
                       BundleState::kSubmitted, source_text};
   bundles_.emplace(bundle.version, StoredBundle{bundle, std::move(record)});
@@ -81,7 +81,7 @@
     return Fail(ErrorKind::kFailedPrecondition, Name(version) + " is not signed.",
                 "Let a reviewer run `graniteseamctl bundle sign`, then roll again.");
   }
-  BOOST_LEAF_CHECK(CheckFixedParts(stored->bundle));
+  BOOST_LEAF_CHECK(CheckImmutableFields(stored->bundle));
   stored->record.state = BundleState::kRolled;
   in_force_ = version;
   for (auto& [lower, other] : bundles_) {
@@ -156,7 +156,7 @@
       "Give the bundle a version above " + std::to_string(in_force_.value) + ".");
 }
 
-Result<void> BundleStore::CheckFixedParts(const Bundle& bundle) const {
+Result<void> BundleStore::CheckImmutableFields(const Bundle& bundle) const {
   for (const Service& service : bundle.services) {
     const auto found = services_ever_rolled_.find(service.name);
     if (found == services_ever_rolled_.end()) continue;
@@ -172,7 +172,7 @@
 
 /// Drops the oldest bundles below the one in force. Those above it wait to be rolled and stay.
 /// Keeps the invariant on digests: what is dropped can't be submitted again.
-Result<void> BundleStore::MakeRoom(std::size_t source_bytes) {
+Result<void> BundleStore::EvictOldBundles(std::size_t source_bytes) {
   std::size_t bytes = SourceBytes() + source_bytes;
   const auto full = [&] {
     return bundles_.size() + 1 > limits_.bundles_maximum || bytes > limits_.history_bytes_maximum;
--- a/src/codec/codec.cc
+++ b/src/codec/codec.cc
@@ -37,7 +37,7 @@
 
   void* Reallocate(void* block, std::size_t size) {
     if (size > allocation_maximum_) return nullptr;
-    Forget(block);
+    Untrack(block);
     void* moved = std::realloc(block, size);
     if (moved != nullptr) live_.push_back(moved);
     return moved;
@@ -56,7 +56,7 @@
   };
 
   /// Ends the tracking of a block, if it is tracked.
-  void Forget(void* block) {
+  void Untrack(void* block) {
     const auto found = std::find(live_.rbegin(), live_.rend(), block);
     if (found != live_.rend()) live_.erase(std::next(found).base());
   }
@@ -82,7 +82,7 @@
 void* Allocate(void*, void* block, std::size_t, std::size_t new_size) {
   DecodeScope* scope = DecodeScope::Current();
   if (new_size == 0) {
-    if (scope != nullptr) scope->Forget(block);
+    if (scope != nullptr) scope->Untrack(block);
     std::free(block);
     return nullptr;
   }
@@ -131,7 +131,7 @@
   return schema;
 }
 
-int ChargeDecoding(std::size_t bytes) {
+int ChargeDecodeBudget(std::size_t bytes) {
   DecodeScope* scope = DecodeScope::Current();
   return scope == nullptr ? EINVAL : scope->Charge(bytes);
 }
--- a/src/consensus/election.cc
+++ b/src/consensus/election.cc
@@ -11,8 +11,8 @@
   election_deadline_ = now + options_.election_timeout_minimum + Duration(jitter(random_));
 }
 
-bool RaftConsensus::Impl::HeardOfLeader(Instant now) const {
-  return role_ == Role::kLeader || now < silence_since_ + options_.election_timeout_minimum;
+bool RaftConsensus::Impl::HasRecentLeaderContact(Instant now) const {
+  return role_ == Role::kLeader || now < last_leader_contact_ + options_.election_timeout_minimum;
 }
 
 void RaftConsensus::Impl::BecomePreCandidate(Instant now) {
@@ -22,7 +22,7 @@
   SetRole(Role::kPreCandidate);
   votes_.clear();
   ResetElectionDeadline(now);
-  AskForVotes(true, false, hard_state_.term.Next());
+  RequestVotes(true, false, hard_state_.term.Next());
   CountVote(self_, now);
 }
 
@@ -30,14 +30,14 @@
   leader_.reset();
   hard_state_ = {hard_state_.term.Next(), self_};
   SaveHardState();
-  PendingOfThisStep().own_vote = true;  // Counted when it is durable.
+  CurrentPendingPersist().own_vote = true;  // Counted when it is durable.
   SetRole(Role::kCandidate);
   votes_.clear();
   ResetElectionDeadline(now);
-  AskForVotes(false, leadership_transfer, hard_state_.term);
+  RequestVotes(false, leadership_transfer, hard_state_.term);
 }
 
-void RaftConsensus::Impl::AskForVotes(bool pre_vote, bool leadership_transfer, Term term) {
+void RaftConsensus::Impl::RequestVotes(bool pre_vote, bool leadership_transfer, Term term) {
   const VoteRequest request{term, pre_vote, log_.last_index(), log_.last_term(),
                             leadership_transfer};
   for (const Member& voter : OtherVoters()) Send(voter, request);
@@ -62,7 +62,7 @@
 void RaftConsensus::Impl::OnPreVoteRequest(const Member& from, const VoteRequest& request,
                                            Instant now) {
   const bool granted =
-      request.term > hard_state_.term && !HeardOfLeader(now) && LogIsUpToDate(request);
+      request.term > hard_state_.term && !HasRecentLeaderContact(now) && LogIsUpToDate(request);
   Send(from, VoteResponse{granted ? request.term : hard_state_.term, true, granted});
 }
 
@@ -71,13 +71,13 @@
   // Lease: whoever answered a heartbeat refuses votes for a while, so that no other leader is
   // elected inside the lease. A transfer is let through: the leader of the term before it gave its
   // lease up, and the leases of older terms ended before that leader was elected.
-  const bool silent = HeardOfLeader(now) && !request.leadership_transfer;
-  if (silent || request.term < hard_state_.term) {
+  const bool leader_lease_may_hold = HasRecentLeaderContact(now) && !request.leadership_transfer;
+  if (leader_lease_may_hold || request.term < hard_state_.term) {
     Send(from, VoteResponse{hard_state_.term, false, false});
     return;
   }
   if (request.term > hard_state_.term) BecomeFollower(request.term, std::nullopt, now);
-  const bool free_to_vote = !hard_state_.voted_for || hard_state_.voted_for->SameVoteAs(from);
+  const bool free_to_vote = !hard_state_.voted_for || hard_state_.voted_for->IsSameMemberAs(from);
   const bool granted = free_to_vote && LogIsUpToDate(request);
   if (granted) {
     hard_state_.voted_for = from;
--- a/src/consensus/follower.cc
+++ b/src/consensus/follower.cc
@@ -10,10 +10,10 @@
   if (term < hard_state_.term) return false;
   // Two leaders of one term cannot be; a message that says so is not from a sound member.
   if (term == hard_state_.term && role_ == Role::kLeader) return false;
-  const bool quiet = role_ == Role::kFollower || role_ == Role::kLearner;
-  if (term > hard_state_.term || !quiet) BecomeFollower(term, from, now);
+  const bool passive = role_ == Role::kFollower || role_ == Role::kLearner;
+  if (term > hard_state_.term || !passive) BecomeFollower(term, from, now);
   leader_ = from;
-  silence_since_ = now;
+  last_leader_contact_ = now;
   ResetElectionDeadline(now);
   return true;
 }
@@ -77,7 +77,7 @@
   response.success = true;
   if (stored) {
     response.match_index = match;
-    PendingOfThisStep().acknowledgements.push_back({self_, from, response});
+    CurrentPendingPersist().acknowledgements.push_back({self_, from, response});
   } else {
     response.match_index = std::min(match, durable_index_);
     Send(from, response);
--- a/src/consensus/founding.cc
+++ b/src/consensus/group_bootstrap.cc
@@ -16,14 +16,14 @@
 
 /// The founding entry's term differs between founders, so that the entries of a founder that lost
 /// its disk half-way are never taken for those of the next one.
-constexpr std::uint64_t kFoundingTerms = 1'000'000;
+constexpr std::uint64_t kBootstrapTermRange = 1'000'000;
 
 /// A member that heard of no leader for so many election timeouts announces itself again.
-constexpr int kForgottenAfterTimeouts = 4;
+constexpr int kReannounceAfterTimeouts = 4;
 
 }  // namespace
 
-void RaftConsensus::Impl::StartFounding(RecoveredState& recovered, Instant now) {
+void RaftConsensus::Impl::StartBootstrap(RecoveredState& recovered, Instant now) {
   seeds_ = std::move(recovered.seeds);
   next_announcement_ = now;
   if (!InNoMembership() || !recovered.bootstrap || log_.last_index().value != 0) return;
@@ -33,13 +33,13 @@
   const bool all_known = std::all_of(voters.begin(), voters.end(),
                                      [](const Member& voter) { return voter.disk.value != 0; });
   if (all_known) {
-    WriteFoundingEntry(*bootstrap_, Term{1});
+    AppendBootstrapEntry(*bootstrap_, Term{1});
   } else {
-    FoundWhenComplete(now);
+    BootstrapIfComplete(now);
   }
 }
 
-void RaftConsensus::Impl::WriteFoundingEntry(const Membership& membership, Term term) {
+void RaftConsensus::Impl::AppendBootstrapEntry(const Membership& membership, Term term) {
   if (term > hard_state_.term) {
     hard_state_ = {term, std::nullopt};
     SaveHardState();
@@ -49,22 +49,22 @@
   SetRole(IsVoter(self_) ? Role::kFollower : Role::kLearner);
 }
 
-bool RaftConsensus::Impl::MayBeForgotten(Instant now) const {
+bool RaftConsensus::Impl::MayHaveBeenRemoved(Instant now) const {
   // A member that was removed while it was away still holds a membership with itself in it.
-  return now - silence_since_ >= kForgottenAfterTimeouts * options_.election_timeout_maximum;
+  return now - last_leader_contact_ >= kReannounceAfterTimeouts * options_.election_timeout_maximum;
 }
 
 void RaftConsensus::Impl::Announce(Instant now) {
   next_announcement_ = now + options_.election_timeout_minimum;
-  std::vector<Member> listeners = seeds_;
-  for (const Member& member : OtherMembers()) listeners.push_back(member);
-  for (Member seed : listeners) {
-    if (seed.id == self_.id) continue;
-    const auto known = announced_.find(seed.id);
+  std::vector<Member> recipients = seeds_;
+  for (const Member& member : OtherMembers()) recipients.push_back(member);
+  for (Member recipient : recipients) {
+    if (recipient.id == self_.id) continue;
+    const auto known = announced_.find(recipient.id);
     // A founder counts only on whoever knows its present disk; all others take any disk.
     const bool name_disk = bootstrap_ && known != announced_.end();
-    seed.disk = name_disk ? known->second.member.disk : DiskIncarnation{};
-    Send(seed, Announcement{bootstrap_.has_value()});
+    recipient.disk = name_disk ? known->second.member.disk : DiskIncarnation{};
+    Send(recipient, Announcement{bootstrap_.has_value()});
   }
 }
 
@@ -73,10 +73,10 @@
   if (message.to.id != self_.id || (!to_this_disk && message.to.disk.value != 0)) return;
   if (message.from.id == self_.id) return;
   announced_[message.from.id] = {message.from, founding, to_this_disk, now};
-  FoundWhenComplete(now);
+  BootstrapIfComplete(now);
 }
 
-void RaftConsensus::Impl::FoundWhenComplete(Instant now) {
+void RaftConsensus::Impl::BootstrapIfComplete(Instant now) {
   if (!InNoMembership() || !bootstrap_) return;
   Membership membership;
   for (const Member& voter : bootstrap_->voters) {
@@ -87,10 +87,10 @@
     }
     const auto known = announced_.find(voter.id);
     if (known == announced_.end()) return;
-    if (!known->second.founding || !known->second.knows_this_disk) return;
+    if (!known->second.founding || !known->second.addressed_to_this_disk) return;
     membership.voters.push_back(known->second.member);
   }
-  WriteFoundingEntry(membership, Term{1 + self_.disk.value % kFoundingTerms});
+  AppendBootstrapEntry(membership, Term{1 + self_.disk.value % kBootstrapTermRange});
   ResetElectionDeadline(now);
 }
 
--- a/src/consensus/leader.cc
+++ b/src/consensus/leader.cc
@@ -22,7 +22,7 @@
   leader_ = self_;
   leader_since_ = now;
   established_at_.reset();
-  commit_told_due_ = Instant::max();
+  commit_notification_due_ = Instant::max();
   transfer_target_.reset();
   progress_.clear();
   round_sent_at_.clear();
@@ -41,17 +41,17 @@
     BecomeFollower(hard_state_.term, std::nullopt, now);
     return;
   }
-  if (now >= commit_told_due_) TellCommit();
+  if (now >= commit_notification_due_) SendCommitIndex();
   if (now < next_heartbeat_) return;
   StartRound(now);
   Heartbeat(now);
 }
 
-void RaftConsensus::Impl::TellCommit() {
-  commit_told_due_ = Instant::max();
+void RaftConsensus::Impl::SendCommitIndex() {
+  commit_notification_due_ = Instant::max();
   for (const Member& peer : OtherMembers()) {
     PeerProgress& progress = progress_.at(VoteKey(peer));
-    if (progress.commit_told < commit_index_) SendEmptyAppend(peer, progress);
+    if (progress.sent_commit_index < commit_index_) SendEmptyAppend(peer, progress);
   }
 }
 
@@ -69,7 +69,7 @@
 std::int64_t RaftConsensus::Impl::QuorumRound() const {
   std::vector<std::int64_t> rounds;
   for (const Member& voter : log_.membership().voters) {
-    const bool own = voter.SameVoteAs(self_);
+    const bool own = voter.IsSameMemberAs(self_);
     rounds.push_back(own ? round_ : progress_.at(VoteKey(voter)).acknowledged_round);
   }
   return ReachedByQuorum(std::move(rounds), QuorumSize());
@@ -106,7 +106,7 @@
     return;
   }
   const bool waiting =
-      progress.in_flight_end.value != 0 && now < progress.in_flight_since + RetransmitAfter();
+      progress.in_flight_end.value != 0 && now < progress.in_flight_since + RetransmitTimeout();
   // One append in flight: what is proposed meanwhile goes into the next one as a batch.
   if (!waiting && progress.next <= log_.last_index()) SendEntries(peer, progress, now);
 }
@@ -119,12 +119,12 @@
       commit_index_,          round_};
   progress.in_flight_end = request.entries.back().index;
   progress.in_flight_since = now;
-  progress.commit_told = commit_index_;
+  progress.sent_commit_index = commit_index_;
   Send(peer, std::move(request));
 }
 
 void RaftConsensus::Impl::SendEmptyAppend(const Member& peer, PeerProgress& progress) {
-  progress.commit_told = commit_index_;
+  progress.sent_commit_index = commit_index_;
   // Index 0 matches everywhere, so that a heartbeat never fails for what was compacted here.
   const auto term = log_.TermAt(progress.match);
   const LogIndex previous = term ? progress.match : LogIndex{};
@@ -134,9 +134,9 @@
 
 void RaftConsensus::Impl::OnAppendResponse(const Member& from, const AppendResponse& response,
                                            Instant now) {
-  PeerProgress* const answered = TakeAnswer(from, response.term, response.round, now);
-  if (answered == nullptr) return;
-  PeerProgress& progress = *answered;
+  PeerProgress* const responder = RecordResponse(from, response.term, response.round, now);
+  if (responder == nullptr) return;
+  PeerProgress& progress = *responder;
   if (response.success) {
     progress.match = std::max(progress.match, std::min(response.match_index, log_.last_index()));
     progress.next = std::max(progress.next, progress.match.Next());
@@ -151,8 +151,8 @@
   SendNext(from, progress, now);
 }
 
-PeerProgress* RaftConsensus::Impl::TakeAnswer(const Member& from, Term term, std::int64_t round,
-                                              Instant now) {
+PeerProgress* RaftConsensus::Impl::RecordResponse(const Member& from, Term term, std::int64_t round,
+                                                  Instant now) {
   if (term > hard_state_.term) {
     BecomeFollower(term, std::nullopt, now);
     return nullptr;
@@ -160,21 +160,23 @@
   if (role_ != Role::kLeader || term < hard_state_.term) return nullptr;
   PeerProgress& progress = progress_.at(VoteKey(from));
   progress.acknowledged_round = std::max(progress.acknowledged_round, std::min(round, round_));
-  progress.heard_at = now;
+  progress.last_response_at = now;
   return &progress;
 }
 
 void RaftConsensus::Impl::UpdateLeaderCommit(Instant now) {
   std::vector<LogIndex> durable;
   for (const Member& voter : log_.membership().voters) {
-    const bool own = voter.SameVoteAs(self_);
+    const bool own = voter.IsSameMemberAs(self_);
     durable.push_back(own ? durable_index_ : progress_.at(VoteKey(voter)).match);
   }
   const LogIndex reached = ReachedByQuorum(std::move(durable), QuorumSize());
   if (reached > commit_index_ && log_.TermAt(reached) == hard_state_.term) {
     AdvanceCommit(reached);
-    const bool told = options_.commit_told_within > Duration{};
-    if (told) commit_told_due_ = std::min(commit_told_due_, now + options_.commit_told_within);
+    const bool delayed = options_.commit_notification_delay > Duration{};
+    if (delayed)
+      commit_notification_due_ =
+          std::min(commit_notification_due_, now + options_.commit_notification_delay);
   }
   if (!established_at_ && commit_index_ >= noop_index_) {
     established_at_ = now;
--- a/src/consensus/leadership_transfer.cc
+++ b/src/consensus/leadership_transfer.cc
@@ -12,7 +12,7 @@
   LogIndex best_match;
   for (const Member& voter : OtherVoters()) {
     const LogIndex match = progress_.at(VoteKey(voter)).match;
-    if (!HeardLately(voter, now_) || (best && match <= best_match)) continue;
+    if (!RespondedRecently(voter, now_) || (best && match <= best_match)) continue;
     best = voter;
     best_match = match;
   }
--- a/src/consensus/membership_change.cc
+++ b/src/consensus/membership_change.cc
@@ -37,22 +37,22 @@
         learners_added(Without(to.learners, KeysOf(from.learners))),
         learners_removed(Without(from.learners, KeysOf(to.learners))) {}
 
-  bool Promotion() const {
+  bool IsPromotion() const {
     return voters_added.size() == 1 && voters_removed.empty() && learners_added.empty() &&
-           learners_removed.size() == 1 && learners_removed[0].SameVoteAs(voters_added[0]);
+           learners_removed.size() == 1 && learners_removed[0].IsSameMemberAs(voters_added[0]);
   }
-  bool Demotion() const {
+  bool IsDemotion() const {
     return voters_removed.size() == 1 && voters_added.empty() && learners_removed.empty() &&
-           learners_added.size() == 1 && learners_added[0].SameVoteAs(voters_removed[0]);
+           learners_added.size() == 1 && learners_added[0].IsSameMemberAs(voters_removed[0]);
   }
-  bool AtMostOne() const {
+  bool ChangesAtMostOneMember() const {
     return voters_added.size() + voters_removed.size() + learners_added.size() +
                learners_removed.size() <=
            1;
   }
 };
 
-bool NamesEachOnce(const Membership& membership) {
+bool HasNoDuplicates(const Membership& membership) {
   std::set<VoteKey> keys = KeysOf(membership.voters);
   keys.merge(KeysOf(membership.learners));
   return keys.size() == membership.voters.size() + membership.learners.size();
@@ -79,13 +79,14 @@
     return Fail(ErrorKind::kFailedPrecondition, "Another membership change is not committed yet.",
                 "Try again once it is committed.");
   }
-  if (next.voters.empty() || !NamesEachOnce(next)) {
+  if (next.voters.empty() || !HasNoDuplicates(next)) {
     return Fail(ErrorKind::kFailedPrecondition,
                 "The membership has no voter, or names a member twice.",
                 "Name each member once, as voter or as learner.");
   }
   const MembershipDifference difference(log_.membership(), next);
-  if (!difference.AtMostOne() && !difference.Promotion() && !difference.Demotion()) {
+  if (!difference.ChangesAtMostOneMember() && !difference.IsPromotion() &&
+      !difference.IsDemotion()) {
     return Fail(ErrorKind::kFailedPrecondition, "More than one member would change.",
                 "Change one member at a time.");
   }
@@ -97,7 +98,7 @@
 
 Result<void> RaftConsensus::Impl::CheckPromotion(const Member& learner, Instant now) const {
   const auto progress = progress_.find(VoteKey(learner));
-  const bool caught_up = progress != progress_.end() && HeardLately(learner, now) &&
+  const bool caught_up = progress != progress_.end() && RespondedRecently(learner, now) &&
                          progress->second.match >= commit_at_round_start_;
   if (caught_up) return {};
   return Fail(ErrorKind::kFailedPrecondition,
@@ -108,7 +109,7 @@
 
 Result<void> RaftConsensus::Impl::CheckRemainingQuorum(const Membership& next, Instant now) const {
   const auto heard = std::count_if(next.voters.begin(), next.voters.end(), [&](const auto& voter) {
-    return voter.SameVoteAs(self_) || HeardLately(voter, now);
+    return voter.IsSameMemberAs(self_) || RespondedRecently(voter, now);
   });
   if (static_cast<std::size_t>(heard) > next.voters.size() / 2) return {};
   return Fail(ErrorKind::kFailedPrecondition,
@@ -116,10 +117,10 @@
               "Bring voters back first, or remove those that do not answer.");
 }
 
-bool RaftConsensus::Impl::HeardLately(const Member& member, Instant now) const {
+bool RaftConsensus::Impl::RespondedRecently(const Member& member, Instant now) const {
   const auto progress = progress_.find(VoteKey(member));
-  return progress != progress_.end() && progress->second.heard_at != Instant::min() &&
-         now - progress->second.heard_at <= options_.election_timeout_maximum;
+  return progress != progress_.end() && progress->second.last_response_at != Instant::min() &&
+         now - progress->second.last_response_at <= options_.election_timeout_maximum;
 }
 
 std::vector<PeerStatus> RaftConsensus::Impl::Peers(Instant now) const {
@@ -127,7 +128,7 @@
   if (role_ != Role::kLeader) return peers;
   for (const Member& member : OtherMembers()) {
     const PeerProgress& progress = progress_.at(VoteKey(member));
-    const Instant heard = std::max(progress.heard_at, leader_since_);
+    const Instant heard = std::max(progress.last_response_at, leader_since_);
     peers.push_back({member, now - heard, progress.match >= commit_at_round_start_});
   }
   return peers;
--- a/src/consensus/peer_progress.h
+++ b/src/consensus/peer_progress.h
@@ -33,9 +33,9 @@
   LogIndex next{1};        ///< The next index to send; always above `match`.
   LogIndex in_flight_end;  ///< Last index of the append not answered yet; 0 when there is none.
   Instant in_flight_since;
-  LogIndex commit_told;                 ///< The newest commit index that was sent there.
-  std::int64_t acknowledged_round = 0;  ///< The newest heartbeat round that it answered.
-  Instant heard_at = Instant::min();    ///< When any answer of this term last came.
+  LogIndex sent_commit_index;                 ///< The newest commit index that was sent there.
+  std::int64_t acknowledged_round = 0;        ///< The newest heartbeat round that it answered.
+  Instant last_response_at = Instant::min();  ///< When any answer of this term last came.
   std::unique_ptr<SnapshotTransfer> transfer;
 };
 
--- a/src/consensus/raft_consensus.cc
+++ b/src/consensus/raft_consensus.cc
@@ -17,11 +17,11 @@
       now_(now),
       // A promise of silence made just before the restart is not on disk: assume that there was
       // one.
-      silence_since_(now) {
+      last_leader_contact_(now) {
   if (log_.last_term() > hard_state_.term) hard_state_ = {log_.last_term(), std::nullopt};
   commit_index_ = log_.snapshot_index();
   durable_index_ = log_.last_index();
-  StartFounding(recovered, now);
+  StartBootstrap(recovered, now);
   SetRole(IsVoter(self_) ? Role::kFollower : Role::kLearner);
   ResetElectionDeadline(now);
 }
@@ -32,7 +32,7 @@
     LeaderTick(now_);
     return;
   }
-  const bool unknown = InNoMembership() || MayBeForgotten(now_);
+  const bool unknown = InNoMembership() || MayHaveBeenRemoved(now_);
   if (unknown && now_ >= next_announcement_) Announce(now_);
   if (now_ < election_deadline_) return;
   if (IsVoter(self_)) {
@@ -46,7 +46,7 @@
 Instant RaftConsensus::Impl::NextTick() const {
   if (role_ == Role::kLeader) {
     const Instant step_down = QuorumRoundSentAt() + options_.election_timeout_maximum;
-    Instant next = std::min({next_heartbeat_, step_down, commit_told_due_});
+    Instant next = std::min({next_heartbeat_, step_down, commit_notification_due_});
     if (transfer_target_) next = std::min(next, transfer_deadline_);
     return next;
   }
@@ -55,12 +55,12 @@
 
 void RaftConsensus::Impl::Step(const PeerMessage& message, Instant now) {
   now_ = std::max(now_, now);
-  if (message.from.SameVoteAs(self_)) return;
+  if (message.from.IsSameMemberAs(self_)) return;
   if (const auto* announcement = std::get_if<Announcement>(&message.payload)) {
     OnAnnouncement(message, announcement->founding, now_);
     return;
   }
-  if (!message.to.SameVoteAs(self_)) return;
+  if (!message.to.IsSameMemberAs(self_)) return;
   const Member& from = message.from;
   std::visit(
       [&](const auto& payload) {
@@ -138,7 +138,7 @@
 void RaftConsensus::Impl::SaveHardState() { effects_.persist.hard_state = hard_state_; }
 
 void RaftConsensus::Impl::AppendEntry(LogEntry entry) {
-  PendingOfThisStep().durable_index = entry.index;
+  CurrentPendingPersist().durable_index = entry.index;
   effects_.persist.entries.push_back(entry);
   log_.Append(std::move(entry));
 }
@@ -156,7 +156,7 @@
   for (auto& pending : pending_) pending.durable_index = std::min(pending.durable_index, kept);
 }
 
-RaftConsensus::Impl::PendingPersist& RaftConsensus::Impl::PendingOfThisStep() {
+RaftConsensus::Impl::PendingPersist& RaftConsensus::Impl::CurrentPendingPersist() {
   const std::uint64_t next = sequence_ + 1;
   if (pending_.empty() || pending_.back().sequence != next) {
     pending_.push_back({next, hard_state_.term, {}, false, {}});
@@ -176,20 +176,20 @@
 bool RaftConsensus::Impl::IsVoter(const Member& member) const {
   const auto& voters = log_.membership().voters;
   return std::any_of(voters.begin(), voters.end(),
-                     [&](const Member& voter) { return voter.SameVoteAs(member); });
+                     [&](const Member& voter) { return voter.IsSameMemberAs(member); });
 }
 
 bool RaftConsensus::Impl::IsMember(const Member& member) const {
   const auto& learners = log_.membership().learners;
   return IsVoter(member) ||
          std::any_of(learners.begin(), learners.end(),
-                     [&](const Member& learner) { return learner.SameVoteAs(member); });
+                     [&](const Member& learner) { return learner.IsSameMemberAs(member); });
 }
 
 std::vector<Member> RaftConsensus::Impl::OtherVoters() const {
   std::vector<Member> others;
   for (const Member& voter : log_.membership().voters) {
-    if (!voter.SameVoteAs(self_)) others.push_back(voter);
+    if (!voter.IsSameMemberAs(self_)) others.push_back(voter);
   }
   return others;
 }
@@ -197,7 +197,7 @@
 std::vector<Member> RaftConsensus::Impl::OtherMembers() const {
   std::vector<Member> others = OtherVoters();
   for (const Member& learner : log_.membership().learners) {
-    if (!learner.SameVoteAs(self_)) others.push_back(learner);
+    if (!learner.IsSameMemberAs(self_)) others.push_back(learner);
   }
   return others;
 }
--- a/src/consensus/raft_impl.h
+++ b/src/consensus/raft_impl.h
@@ -1,7 +1,7 @@
 /// @file
 /// The state of one Raft member. Its steps are implemented by concern: election.cc, leader.cc
 /// (replication, lease, commit), follower.cc, membership_change.cc, snapshot_transfer.cc,
-/// leadership_transfer.cc and founding.cc.
+/// leadership_transfer.cc and group_bootstrap.cc.
 #pragma once
 
 #include <deque>
@@ -56,7 +56,8 @@
   struct AnnouncedMember {
     Member member;
     bool founding = false;
-    bool knows_this_disk = false;  ///< It addressed the announcement to our present incarnation.
+    bool addressed_to_this_disk =
+        false;  ///< It addressed the announcement to our present incarnation.
     Instant at;
   };
 
@@ -67,7 +68,7 @@
   void SaveHardState();
   void AppendEntry(LogEntry entry);
   void TruncateLogFrom(LogIndex index);
-  PendingPersist& PendingOfThisStep();
+  PendingPersist& CurrentPendingPersist();
   void AdvanceCommit(LogIndex index);
   bool IsVoter(const Member& member) const;
   bool IsMember(const Member& member) const;
@@ -77,10 +78,10 @@
 
   // --- election.cc ---
   void ResetElectionDeadline(Instant now);
-  bool HeardOfLeader(Instant now) const;
+  bool HasRecentLeaderContact(Instant now) const;
   void BecomePreCandidate(Instant now);
   void BecomeCandidate(bool leadership_transfer, Instant now);
-  void AskForVotes(bool pre_vote, bool leadership_transfer, Term term);
+  void RequestVotes(bool pre_vote, bool leadership_transfer, Term term);
   void CountVote(const Member& voter, Instant now);
   bool LogIsUpToDate(const VoteRequest& request) const;
   void OnVoteRequest(const Member& from, const VoteRequest& request, Instant now);
@@ -97,15 +98,15 @@
   void SendEntries(const Member& peer, PeerProgress& progress, Instant now);
   void SendEmptyAppend(const Member& peer, PeerProgress& progress);
   /// Tells the commit index to the members that were not sent it yet.
-  void TellCommit();
+  void SendCommitIndex();
   void OnAppendResponse(const Member& from, const AppendResponse& response, Instant now);
   /// Takes what every answer to a leader says: its term and the round it answers.
   /// @return the sender's progress; null when the answer is not for this leader's term.
-  PeerProgress* TakeAnswer(const Member& from, Term term, std::int64_t round, Instant now);
+  PeerProgress* RecordResponse(const Member& from, Term term, std::int64_t round, Instant now);
   std::int64_t QuorumRound() const;
   Instant QuorumRoundSentAt() const;
   void UpdateLeaderCommit(Instant now);
-  Duration RetransmitAfter() const { return 2 * options_.heartbeat_interval; }
+  Duration RetransmitTimeout() const { return 2 * options_.heartbeat_interval; }
 
   // --- follower.cc ---
   bool AcceptLeader(const Member& from, Term term, Instant now);
@@ -126,7 +127,7 @@
   Result<void> CheckMembershipChange(const Membership& next, Instant now) const;
   Result<void> CheckPromotion(const Member& learner, Instant now) const;
   Result<void> CheckRemainingQuorum(const Membership& next, Instant now) const;
-  bool HeardLately(const Member& member, Instant now) const;
+  bool RespondedRecently(const Member& member, Instant now) const;
   void SyncProgressWithMembership(LogIndex next_to_send);
 
   // --- leadership_transfer.cc ---
@@ -134,14 +135,14 @@
   void CompleteTransferWhenReady(Instant now);
   void OnTimeoutNow(const TimeoutNowRequest& request, Instant now);
 
-  // --- founding.cc ---
-  void StartFounding(RecoveredState& recovered, Instant now);
+  // --- group_bootstrap.cc ---
+  void StartBootstrap(RecoveredState& recovered, Instant now);
   bool InNoMembership() const { return log_.membership().voters.empty(); }
-  bool MayBeForgotten(Instant now) const;
+  bool MayHaveBeenRemoved(Instant now) const;
   void Announce(Instant now);
   void OnAnnouncement(const PeerMessage& message, bool founding, Instant now);
-  void FoundWhenComplete(Instant now);
-  void WriteFoundingEntry(const Membership& membership, Term term);
+  void BootstrapIfComplete(Instant now);
+  void AppendBootstrapEntry(const Membership& membership, Term term);
 
   Result<void> CheckLeading(Instant now) const;
 
@@ -158,7 +159,7 @@
   std::optional<Member> leader_;
   Instant now_;  ///< The newest instant seen.
   /// Votes are refused for election_timeout_minimum from here on: a leader may count on it.
-  Instant silence_since_;
+  Instant last_leader_contact_;
   Instant election_deadline_;
   std::set<VoteKey> votes_;
 
@@ -167,7 +168,7 @@
   std::int64_t round_ = 0;
   std::map<std::int64_t, Instant> round_sent_at_;  ///< From the newest answered round on.
   Instant next_heartbeat_;
-  Instant commit_told_due_ = Instant::max();
+  Instant commit_notification_due_ = Instant::max();
   Instant leader_since_;
   LogIndex noop_index_;
   LogIndex commit_at_round_start_;
--- a/src/consensus/raft_log.cc
+++ b/src/consensus/raft_log.cc
@@ -63,7 +63,7 @@
 }
 
 void RaftLog::Compact(Snapshot snapshot, std::size_t kept) {
-  ForgetMembershipsBefore(snapshot.last_index);
+  DropMembershipsBefore(snapshot.last_index);
   const std::uint64_t last_dropped =
       snapshot.last_index.value > kept ? snapshot.last_index.value - kept : 0;
   snapshot_ = std::make_shared<const Snapshot>(std::move(snapshot));
@@ -82,7 +82,7 @@
   if (keep_suffix) {
     entries_.erase(entries_.begin(),
                    entries_.begin() + static_cast<std::ptrdiff_t>(OffsetOf(index) + 1));
-    ForgetMembershipsBefore(index);
+    DropMembershipsBefore(index);
   } else {
     entries_.clear();
     memberships_.assign(1, {index, snapshot.membership});
@@ -93,7 +93,7 @@
   return keep_suffix;
 }
 
-void RaftLog::ForgetMembershipsBefore(LogIndex index) {
+void RaftLog::DropMembershipsBefore(LogIndex index) {
   while (memberships_.size() > 1 && memberships_[1].index <= index) {
     memberships_.erase(memberships_.begin());
   }
--- a/src/consensus/raft_log.h
+++ b/src/consensus/raft_log.h
@@ -73,7 +73,7 @@
   };
 
   std::size_t OffsetOf(LogIndex index) const { return index.value - base_index_.value - 1; }
-  void ForgetMembershipsBefore(LogIndex index);
+  void DropMembershipsBefore(LogIndex index);
 
   LogIndex base_index_;  ///< The last compacted index.
   Term base_term_;
--- a/src/consensus/snapshot_transfer.cc
+++ b/src/consensus/snapshot_transfer.cc
@@ -22,7 +22,7 @@
     progress.in_flight_end = {};
   }
   SnapshotTransfer& transfer = *progress.transfer;
-  if (transfer.waiting && now < transfer.sent_at + RetransmitAfter()) return;
+  if (transfer.waiting && now < transfer.sent_at + RetransmitTimeout()) return;
   transfer.waiting = true;
   transfer.sent_at = now;
   const Snapshot& snapshot = *transfer.snapshot;
@@ -36,9 +36,9 @@
 void RaftConsensus::Impl::OnInstallSnapshotResponse(const Member& from,
                                                     const InstallSnapshotResponse& response,
                                                     Instant now) {
-  PeerProgress* const answered = TakeAnswer(from, response.term, response.round, now);
-  if (answered == nullptr) return;
-  PeerProgress& progress = *answered;
+  PeerProgress* const responder = RecordResponse(from, response.term, response.round, now);
+  if (responder == nullptr) return;
+  PeerProgress& progress = *responder;
   if (!progress.transfer) return;
   SnapshotTransfer& transfer = *progress.transfer;
   if (response.installed) {
@@ -102,7 +102,7 @@
     for (auto& pending : pending_) pending.durable_index = {};
   }
   commit_index_ = last;
-  auto& pending = PendingOfThisStep();
+  auto& pending = CurrentPendingPersist();
   pending.durable_index = last;
   const InstallSnapshotResponse response{hard_state_.term, 0, true, request.round};
   pending.acknowledgements.push_back({self_, from, response});
--- a/src/control/control_node_requests.cc
+++ b/src/control/control_node_requests.cc
@@ -133,7 +133,7 @@
 }
 
 void ControlNode::Impl::TakeRelay(const consensus::PeerMessage& message, Instant now) {
-  if (!leadership_ || !message.to.SameVoteAs(consensus_.self())) return;
+  if (!leadership_ || !message.to.IsSameMemberAs(consensus_.self())) return;
   const auto& relay = std::get<consensus::HeartbeatRelay>(message.payload);
   for (const std::string& id : relay.instances) {
     leadership_->traffic.liveness().Heard({id}, now);
@@ -265,7 +265,7 @@
 
 std::string ControlNode::Impl::LeaderAddress() const {
   const auto leader = consensus_.leader();
-  if (!leader || leader->SameVoteAs(consensus_.self())) return "";
+  if (!leader || leader->IsSameMemberAs(consensus_.self())) return "";
   return leader->address;
 }
 
--- a/src/control/feed_choice.cc
+++ b/src/control/feed_choice.cc
@@ -37,7 +37,7 @@
   std::erase_if(fit_at_, [&](const auto& entry) { return now - entry.second >= kFitFor; });
   for (const consensus::PeerStatus& peer : peers) {
     if (peer.caught_up) fit_at_[peer.member.address] = now;
-    if (peer.silence >= kResponsive || !fit_at_.contains(peer.member.address)) continue;
+    if (peer.time_since_response >= kResponsive || !fit_at_.contains(peer.member.address)) continue;
     all_.push_back(peer.member.address);
     by_zone_[peer.member.zone].push_back(peer.member.address);
   }
--- a/src/control/membership_keeper.cc
+++ b/src/control/membership_keeper.cc
@@ -14,15 +14,15 @@
 
 const consensus::PeerStatus* StatusOf(const MembershipView& view, const Member& member) {
   const auto found = std::find_if(view.others.begin(), view.others.end(), [&](const auto& other) {
-    return other.member.SameVoteAs(member);
+    return other.member.IsSameMemberAs(member);
   });
   return found == view.others.end() ? nullptr : &*found;
 }
 
 bool Present(const MembershipView& view, const Member& member) {
-  if (member.SameVoteAs(view.self)) return true;
+  if (member.IsSameMemberAs(view.self)) return true;
   const consensus::PeerStatus* status = StatusOf(view, member);
-  return status != nullptr && status->silence <= kPresent;
+  return status != nullptr && status->time_since_response <= kPresent;
 }
 
 /// Whether a learner is there and holds the log.
@@ -32,7 +32,7 @@
 }
 
 void Erase(std::vector<Member>& members, const Member& gone) {
-  std::erase_if(members, [&](const Member& member) { return member.SameVoteAs(gone); });
+  std::erase_if(members, [&](const Member& member) { return member.IsSameMemberAs(gone); });
 }
 
 Membership WithLearner(Membership membership, const Member& learner) {
@@ -97,7 +97,7 @@
   const bool disk_lost = std::any_of(learners.begin(), learners.end(),
                                      [&](const Member& one) { return one.id == voter.id; });
   const consensus::PeerStatus* status = StatusOf(view, voter);
-  return disk_lost || (status != nullptr && status->silence >= options.replace_after);
+  return disk_lost || (status != nullptr && status->time_since_response >= options.replace_after);
 }
 
 /// A learner that may vote.
@@ -127,7 +127,7 @@
   for (const Member& member : view.announced) {
     const auto& learners = view.membership.learners;
     const auto older = std::find_if(learners.begin(), learners.end(), [&](const Member& one) {
-      return one.id == member.id && !one.SameVoteAs(member);
+      return one.id == member.id && !one.IsSameMemberAs(member);
     });
     if (older != learners.end()) return WithoutLearner(view.membership, *older);
     if (learners.size() < kLearnersMaximum) return WithLearner(view.membership, member);
@@ -148,7 +148,7 @@
   if (auto admitted = Admission(view)) return admitted;
   for (const Member& learner : view.membership.learners) {
     const consensus::PeerStatus* status = StatusOf(view, learner);
-    if (status != nullptr && status->silence >= options.forget_learner_after) {
+    if (status != nullptr && status->time_since_response >= options.forget_learner_after) {
       return WithoutLearner(view.membership, learner);
     }
   }
--- a/src/control/operator_requests.cc
+++ b/src/control/operator_requests.cc
@@ -17,11 +17,12 @@
 
 bool Contains(const std::vector<consensus::Member>& members, const consensus::Member& member) {
   return std::any_of(members.begin(), members.end(),
-                     [&](const consensus::Member& known) { return known.SameVoteAs(member); });
+                     [&](const consensus::Member& known) { return known.IsSameMemberAs(member); });
 }
 
 void Erase(std::vector<consensus::Member>& members, const consensus::Member& member) {
-  std::erase_if(members, [&](const consensus::Member& known) { return known.SameVoteAs(member); });
+  std::erase_if(members,
+                [&](const consensus::Member& known) { return known.IsSameMemberAs(member); });
 }
 
 std::string Name(const consensus::Member& member) {
--- a/src/daemon/control/control_driver.cc
+++ b/src/daemon/control/control_driver.cc
@@ -34,7 +34,7 @@
                                                Instant now) {
   std::vector<consensus::Member> responsive;
   for (const consensus::PeerStatus& peer : consensus.peers(now)) {
-    if (peer.silence < kResponsive && peer.caught_up) responsive.push_back(peer.member);
+    if (peer.time_since_response < kResponsive && peer.caught_up) responsive.push_back(peer.member);
   }
   return responsive;
 }
--- a/src/daemon/control/control_process.cc
+++ b/src/daemon/control/control_process.cc
@@ -109,8 +109,8 @@
   const bool founder =
       std::any_of(settings_.first_voters.begin(), settings_.first_voters.end(),
                   [&](const consensus::Member& voter) { return voter.id == options.id; });
-  if (founder) options.founders = consensus::Membership{settings_.first_voters, {}};
-  if (settings_.initialise) options.bootstrap = options.founders;
+  if (founder) options.configured_voters = consensus::Membership{settings_.first_voters, {}};
+  if (settings_.initialise) options.bootstrap = options.configured_voters;
   BOOST_LEAF_ASSIGN(storage_, storage::ConsensusStorage::Open(files_, options));
   if (storage_->torn_bytes() > 0) {
     log_.Warning("Cut {} bytes of a write that a crash tore.", storage_->torn_bytes());
@@ -245,7 +245,7 @@
   outputs.stop = [this] { stop_signals_.RequestStop(); };
   control::ControlOptions options = settings_.node;
   options.traffic.pushes_are_timed = true;
-  options.consensus.commit_told_within = kCommitToldWithin;
+  options.consensus.commit_notification_delay = kCommitToldWithin;
   options.reviewer_keys = settings_.reviewers;
   options.membership.voters = settings_.WantedVoters();
   driver_ = std::make_unique<ControlDriver>(std::move(options), std::move(storage_), queue_,
--- a/src/daemon/operator_cli/fleet_commands.cc
+++ b/src/daemon/operator_cli/fleet_commands.cc
@@ -33,7 +33,7 @@
 void AddMembers(Table& table, const control::FleetView& view,
                 const std::vector<consensus::Member>& members, const std::string& role) {
   for (const consensus::Member& member : members) {
-    const bool leads = view.leader.has_value() && view.leader->SameVoteAs(member);
+    const bool leads = view.leader.has_value() && view.leader->IsSameMemberAs(member);
     table.AddRow({std::to_string(member.id.value), leads ? "leader" : role, member.zone.value,
                   member.address, std::to_string(member.disk.value)});
   }
--- a/src/daemon/operator_cli/member_commands.cc
+++ b/src/daemon/operator_cli/member_commands.cc
@@ -58,7 +58,7 @@
   BOOST_LEAF_AUTO(view, GetFleet(context));
   const auto& voters = view.membership.voters;
   const bool votes = std::any_of(voters.begin(), voters.end(),
-                                 [&](const Member& voter) { return voter.SameVoteAs(member); });
+                                 [&](const Member& voter) { return voter.IsSameMemberAs(member); });
   if (votes) return {};
   BOOST_LEAF_CHECK(Send(context, ChangeMembership::Kind::kAddLearner, member));
   return PromoteWhenCaughtUp(context, member);
@@ -71,7 +71,7 @@
   BOOST_LEAF_AUTO(view, GetFleet(context));
   std::vector<Member> found;
   for (const Member& member : AllMembers(view.membership)) {
-    const bool keep = kept != nullptr && kept->SameVoteAs(member);
+    const bool keep = kept != nullptr && kept->IsSameMemberAs(member);
     if (member.id.value == id && !keep) found.push_back(member);
   }
   return found;
--- a/src/operation/operation_journal.cc
+++ b/src/operation/operation_journal.cc
@@ -13,7 +13,7 @@
 constexpr std::size_t kUuidTextSize = 36;
 constexpr std::array<std::size_t, 4> kUuidHyphens = {8, 13, 18, 23};
 
-bool HyphenAt(std::size_t position) {
+bool IsHyphenPosition(std::size_t position) {
   return std::find(kUuidHyphens.begin(), kUuidHyphens.end(), position) != kUuidHyphens.end();
 }
 
@@ -50,13 +50,13 @@
   }
   Entry& entry = known->second;
   const bool too_old = TimeOf(*key) < wall_ms - retention_ms;
-  result.verdict = ClaimKnown(entry, request, too_old);
+  result.verdict = ClaimExisting(entry, request, too_old);
   if (result.verdict == ClaimVerdict::kAnswered) result.answer = entry.answer;
   return result;
 }
 
-ClaimVerdict OperationJournal::ClaimKnown(Entry& entry, const ClaimRequest& request,
-                                          bool too_old) const {
+ClaimVerdict OperationJournal::ClaimExisting(Entry& entry, const ClaimRequest& request,
+                                             bool too_old) const {
   if (entry.group != request.group || entry.request_digest != request.request_digest) {
     return ClaimVerdict::kMismatch;
   }
@@ -154,7 +154,7 @@
   const std::size_t size = SizeOf(*answer);
   journal.answer_sizes.emplace(key, size);
   answer_bytes_ += size;
-  MakeRoomForAnswers();
+  EvictAnswers();
 }
 
 void OperationJournal::DropAnswer(ServiceJournal& journal, const OperationKey& key, Entry& entry) {
@@ -166,7 +166,7 @@
 }
 
 /// Drops the oldest answers of all services. That the operations ran stays known.
-void OperationJournal::MakeRoomForAnswers() {
+void OperationJournal::EvictAnswers() {
   while (answer_bytes_ > limits_.answer_bytes_maximum) {
     ServiceJournal* oldest = nullptr;
     for (auto& [name, journal] : services_) {
@@ -222,7 +222,7 @@
   OperationKey key{};
   std::size_t digits = 0;
   for (std::size_t position = 0; position < text.size(); ++position) {
-    if (HyphenAt(position)) {
+    if (IsHyphenPosition(position)) {
       if (text[position] != '-') return std::nullopt;
       continue;
     }
--- a/src/storage/consensus_storage.cc
+++ b/src/storage/consensus_storage.cc
@@ -4,7 +4,7 @@
 namespace {
 
 /// Marks a folder that was made for the founding of a group.
-constexpr const char* kFoundingName = "founding";
+constexpr const char* kBootstrapMarkerName = "founding";
 
 }  // namespace
 
@@ -19,7 +19,7 @@
 Result<std::unique_ptr<ConsensusStorage>> ConsensusStorage::Open(FileSystem& files,
                                                                  const StorageOptions& options) {
   const DiskIncarnation fresh =
-      options.fresh_incarnation ? *options.fresh_incarnation : DrawIncarnation();
+      options.fresh_incarnation ? *options.fresh_incarnation : GenerateIncarnation();
   BOOST_LEAF_AUTO(folder, DataFolder::Open(files, options.folder, options.id, fresh));
   BOOST_LEAF_AUTO(log, LogStore::Open(files, options.folder, options.segment_bytes));
   std::unique_ptr<ConsensusStorage> storage(
@@ -34,20 +34,21 @@
   torn_bytes_ = content.torn_bytes;
   recovered_.self = {options_.id, folder_.incarnation(), options_.address, options_.zone};
   recovered_.hard_state = content.hard_state;
-  BOOST_LEAF_AUTO(founds, Founds());
+  BOOST_LEAF_AUTO(bootstrapping, EnsureBootstrapMarker());
   recovered_.bootstrap = options_.bootstrap;
-  if (founds && !recovered_.bootstrap) recovered_.bootstrap = options_.founders;
+  if (bootstrapping && !recovered_.bootstrap) recovered_.bootstrap = options_.configured_voters;
   recovered_.seeds = options_.seeds;
   BOOST_LEAF_CHECK(RecoverEntries(std::move(content), stored));
   if (stored) recovered_.snapshot = std::move(stored->snapshot);
   return {};
 }
 
-Result<bool> ConsensusStorage::Founds() {
-  const std::string path = options_.folder + "/" + kFoundingName;
+Result<bool> ConsensusStorage::EnsureBootstrapMarker() {
+  const std::string path = options_.folder + "/" + kBootstrapMarkerName;
   if (files_.Exists(path)) return true;
   if (!folder_.initialised_now() || !options_.bootstrap) return false;
-  BOOST_LEAF_CHECK(WriteFileAtomically(files_, options_.folder, kFoundingName, "founding\n"));
+  BOOST_LEAF_CHECK(
+      WriteFileAtomically(files_, options_.folder, kBootstrapMarkerName, "founding\n"));
   return true;
 }
 
--- a/src/storage/consensus_storage.h
+++ b/src/storage/consensus_storage.h
@@ -24,7 +24,7 @@
   std::optional<consensus::Membership> bootstrap;
   /// The first voters as every start names them. A folder that was made for founding goes on
   /// founding with them after a restart, until the group exists.
-  std::optional<consensus::Membership> founders;
+  std::optional<consensus::Membership> configured_voters;
   /// Where to announce this process while it is in no membership; disks 0.
   std::vector<consensus::Member> seeds;
   std::size_t segment_bytes = 16UL << 20U;
@@ -66,7 +66,7 @@
 
   Result<void> Recover();
   /// Remembers that this folder was made for founding, or finds that it was.
-  Result<bool> Founds();
+  Result<bool> EnsureBootstrapMarker();
   Result<void> RecoverEntries(LogContent content, const std::optional<StoredSnapshot>& stored);
 
   FileSystem& files_;
--- a/src/storage/data_folder.cc
+++ b/src/storage/data_folder.cc
@@ -22,7 +22,7 @@
 Result<Identity> ReadIdentity(FileSystem& files, const std::string& path) {
   BOOST_LEAF_AUTO(content, files.Read(path));
   const Frame frame = ReadFrame(content);
-  if (frame.state != FrameState::kWhole) {
+  if (frame.state != FrameState::kValid) {
     return Fail(ErrorKind::kStorageCorrupt, path + " does not pass its checksum.",
                 "Replace this control process's disk as "
                 "docs/operations/replacing-a-control-disk.md tells.");
@@ -78,7 +78,7 @@
   return folder;
 }
 
-DiskIncarnation DrawIncarnation() {
+DiskIncarnation GenerateIncarnation() {
   std::random_device device;
   std::uniform_int_distribution<std::uint64_t> any(1, (std::uint64_t{1} << 62U) - 1);
   return DiskIncarnation{any(device)};
--- a/src/storage/data_folder.h
+++ b/src/storage/data_folder.h
@@ -37,6 +37,6 @@
 };
 
 /// Draws an incarnation from the operating system's random source; never 0.
-DiskIncarnation DrawIncarnation();
+DiskIncarnation GenerateIncarnation();
 
 }  // namespace graniteseam::storage
--- a/src/storage/frame.cc
+++ b/src/storage/frame.cc
@@ -50,20 +50,20 @@
   const bool header_sound =
       bytes.starts_with(kMagic) &&
       NumberAt(bytes, kHeaderChecksumOffset, 4) == Checksum(bytes.substr(0, kHeaderChecksumOffset));
-  if (!header_sound) return {FrameState::kDamaged, 0, {}};
+  if (!header_sound) return {FrameState::kCorrupt, 0, {}};
   const std::uint64_t sequence = NumberAt(bytes, kSequenceOffset, 8);
   const std::uint64_t length = NumberAt(bytes, kLengthOffset, 4);
-  if (bytes.size() - kFrameHeaderBytes < length) return {FrameState::kShort, sequence, {}};
+  if (bytes.size() - kFrameHeaderBytes < length) return {FrameState::kTruncated, sequence, {}};
   const std::string_view payload = bytes.substr(kFrameHeaderBytes, length);
   const bool sound = Checksum(payload) == NumberAt(bytes, kPayloadChecksumOffset, 4);
-  return {sound ? FrameState::kWhole : FrameState::kDamaged, sequence, payload};
+  return {sound ? FrameState::kValid : FrameState::kCorrupt, sequence, payload};
 }
 
 bool HasLaterFrame(std::string_view bytes, std::uint64_t sequence) {
   for (auto at = bytes.find(kMagic); at != std::string_view::npos;
        at = bytes.find(kMagic, at + 1)) {
     const Frame frame = ReadFrame(bytes.substr(at));
-    if (frame.state == FrameState::kWhole && frame.sequence > sequence) return true;
+    if (frame.state == FrameState::kValid && frame.sequence > sequence) return true;
   }
   return false;
 }
--- a/src/storage/frame.h
+++ b/src/storage/frame.h
@@ -23,13 +23,13 @@
 std::string EncodeFrame(std::uint64_t sequence, std::string_view payload);
 
 enum class FrameState {
-  kWhole,    ///< Header and payload are sound.
-  kShort,    ///< The bytes end before the frame does; its header is sound, or cut as well.
-  kDamaged,  ///< A checksum or the magic is wrong.
+  kValid,      ///< Header and payload are sound.
+  kTruncated,  ///< The bytes end before the frame does; its header is sound, or cut as well.
+  kCorrupt,    ///< A checksum or the magic is wrong.
 };
 
 struct Frame {
-  FrameState state = FrameState::kShort;
+  FrameState state = FrameState::kTruncated;
   std::uint64_t sequence = 0;
   std::string_view payload;  ///< Points into the bytes read.
 
--- a/src/storage/log_recovery.cc
+++ b/src/storage/log_recovery.cc
@@ -81,7 +81,7 @@
   BOOST_LEAF_AUTO(content, files_.Read(path));
   while (segment.size < content.size()) {
     const Frame frame = ReadFrame(std::string_view(content).substr(segment.size));
-    const bool whole = frame.state == FrameState::kWhole && frame.sequence == next_sequence_;
+    const bool whole = frame.state == FrameState::kValid && frame.sequence == next_sequence_;
     if (!whole) {
       if (!newest) {
         return Corrupt(path + " is damaged at byte " + std::to_string(segment.size) + ".");
@@ -110,7 +110,7 @@
   // A frame is written only after the one before it is synced. So a tear is at the very end, and is
   // either missing bytes or sectors that were never written; all else is damage to synced data, and
   // cutting it would forget what was promised.
-  const bool torn = frame.state == FrameState::kShort || HasZeroSector(content, segment.size);
+  const bool torn = frame.state == FrameState::kTruncated || HasZeroSector(content, segment.size);
   if (!torn || HasLaterFrame(tail, next_sequence_)) {
     return Corrupt(PathOf(segment) + " is damaged at byte " + std::to_string(segment.size) + ".");
   }
--- a/src/storage/memory_file_system.cc
+++ b/src/storage/memory_file_system.cc
@@ -184,14 +184,14 @@
 }
 
 void MemoryFileSystem::LosePower() {
-  constexpr std::uint64_t kTakesAllOneIn = 4;
-  if (names_by_chance_ && random_() % kTakesAllOneIn == 0) {
+  constexpr std::uint64_t kLoseAllUnsyncedOneIn = 4;
+  if (randomize_name_loss_ && random_() % kLoseAllUnsyncedOneIn == 0) {
     names_ = synced_names_;
     for (const auto& [path, inode] : names_) inode->content.resize(inode->synced_size);
     locks_.clear();
     return;
   }
-  names_ = names_by_chance_ ? NamesAfterPowerLoss() : synced_names_;
+  names_ = randomize_name_loss_ ? NamesAfterPowerLoss() : synced_names_;
   synced_names_ = names_;
   for (const auto& [path, inode] : names_) TearUnsynced(*inode);
   locks_.clear();
--- a/src/storage/memory_file_system.h
+++ b/src/storage/memory_file_system.h
@@ -35,7 +35,7 @@
   /// From now on a loss of power decides for each name that was created, removed or renamed since
   /// its folder was synced, independently of the others, whether that lasts; and now and then it
   /// takes all that was not synced.
-  void LoseNamesByChance() { names_by_chance_ = true; }
+  void RandomizeNameLoss() { randomize_name_loss_ = true; }
   /// What the end of the process alone leaves: all that was written. Locks are released.
   void EndProcess() { locks_.clear(); }
   /// The disk is replaced by an empty one.
@@ -79,7 +79,7 @@
   int passing_syncs_ = 0;  ///< Before those that fail.
   int failing_syncs_ = 0;
   std::uint64_t syncs_ = 0;
-  bool names_by_chance_ = false;
+  bool randomize_name_loss_ = false;
 };
 
 }  // namespace graniteseam::storage
--- a/src/storage/snapshot_store.cc
+++ b/src/storage/snapshot_store.cc
@@ -19,7 +19,7 @@
   BOOST_LEAF_AUTO(content, files_.Read(path));
   const Frame frame = ReadFrame(content);
   // It was synced before it got its name: anything but a whole frame is damage, never a tear.
-  if (frame.state != FrameState::kWhole || frame.Bytes() != content.size()) {
+  if (frame.state != FrameState::kValid || frame.Bytes() != content.size()) {
     return Fail(ErrorKind::kStorageCorrupt, path + " does not pass its checksum.",
                 "Do not repair the file. Replace this control process's disk as "
                 "docs/operations/replacing-a-control-disk.md tells; the other voters hold the "
--- a/tests/consensus/closing_loss_test.cc
+++ b/tests/consensus/closing_loss_test.cc
@@ -31,7 +31,7 @@
         cluster_(voters, seed, Network(seed), Options(),
                  seed % 2 == 0 ? VirtualCluster::Founding::kDisksKnown
                                : VirtualCluster::Founding::kDisksUnknown) {
-    for (const auto id : cluster_.ids()) cluster_.Files(id).LoseNamesByChance();
+    for (const auto id : cluster_.ids()) cluster_.Files(id).RandomizeNameLoss();
     keeper_.enabled = true;
     keeper_.voters = voters;
   }
@@ -109,7 +109,8 @@
     const auto& membership = const_cast<VirtualCluster&>(cluster_).Raft(leader).membership();
     const bool all_run =
         std::all_of(membership.voters.begin(), membership.voters.end(), [&](const Member& voter) {
-          return cluster_.Up(voter.id.value) && cluster_.MemberOf(voter.id.value).SameVoteAs(voter);
+          return cluster_.Up(voter.id.value) &&
+                 cluster_.MemberOf(voter.id.value).IsSameMemberAs(voter);
         });
     return all_run && membership.voters.size() == voters_ &&
            cluster_.AllAppliedEqual(cluster_.ids());
--- a/tests/consensus/fault_test.cc
+++ b/tests/consensus/fault_test.cc
@@ -283,7 +283,7 @@
     cluster.Run(Duration(1'000));
     cr_assert(cluster.Raft(alone).role() != Role::kLeader);
   }
-  cr_assert_not(cluster.MemberOf(3).SameVoteAs(old_incarnation));
+  cr_assert_not(cluster.MemberOf(3).IsSameMemberAs(old_incarnation));
 }
 
 Test(fault, leadership_is_handed_over_without_waiting_for_a_timeout) {
--- a/tests/consensus/raft_consensus_test.cc
+++ b/tests/consensus/raft_consensus_test.cc
@@ -99,7 +99,7 @@
 Test(raft_consensus, followers_hear_of_a_commit_without_waiting_for_a_heartbeat) {
   ConsensusOptions options;
   options.heartbeat_interval = std::chrono::milliseconds(100);
-  options.commit_told_within = std::chrono::milliseconds(5);
+  options.commit_notification_delay = std::chrono::milliseconds(5);
   VirtualCluster cluster(3, 11, {}, options);
   cr_assert(cluster.RunUntil([&] { return cluster.Leader() != 0; }));
   cluster.Run(std::chrono::seconds(1));
--- a/tests/consensus/virtual_cluster.cc
+++ b/tests/consensus/virtual_cluster.cc
@@ -267,7 +267,7 @@
   for (auto& [id, node] : nodes_) {
     if (!node.raft || node.raft->role() != Role::kLeader) continue;
     const auto [known, added] = leader_of_term_.insert({node.raft->term(), node.member});
-    if (!added && !known->second.SameVoteAs(node.member)) Violate("election safety");
+    if (!added && !known->second.IsSameMemberAs(node.member)) Violate("election safety");
     if (node.checked_term != node.raft->term()) CheckLeaderCompleteness(node);
     if (!ActsAsLeader(id)) continue;
     if (acting != 0) Violate("lease exclusivity");
@@ -430,7 +430,7 @@
                            [&](const auto& voter) {
                              const Node& node = nodes_.at(voter.id.value);
                              return node.raft && node.raft->membership() == membership &&
-                                    node.member.SameVoteAs(voter) &&
+                                    node.member.IsSameMemberAs(voter) &&
                                     node.applied_index >= nodes_.at(leader).applied_index;
                            });
       },
--- a/tests/control_daemon/crowded_group.cc
+++ b/tests/control_daemon/crowded_group.cc
@@ -264,7 +264,7 @@
     if (asked == asked_.end()) continue;
     const auto leader = control.node->consensus().leader();
     const auto index =
-        leader && !leader->SameVoteAs(control.self) ? IndexOf(leader->address) : control.index;
+        leader && !leader->IsSameMemberAs(control.self) ? IndexOf(leader->address) : control.index;
     At(Emit(control, Kind::kHttp) + Latency(),
        [answer = std::move(asked->second), given = reply.answer, index] { answer(&given, index); });
     asked_.erase(asked);
