--- a/include/graniteseam/bundle/bundle_store.h
+++ b/include/graniteseam/bundle/bundle_store.h
@@ -1,5 +1,5 @@
 /// @file
-/// The replicated store of bundles: which were submitted, signed and rolled, and which is in force.
+/// The replicated store of bundles: submitted, signed and rolled bundles, and the one in force.
 /// See docs/design/bundles.md.
 #pragma once
 
@@ -17,15 +17,16 @@
 
 namespace graniteseam::bundle {
 
+/// State of a bundle between submission and rollout.
 enum class BundleState {
   kSubmitted,
   kSigned,
-  kRolled,      ///< In force now, or was so before a higher version was rolled.
-  kSuperseded,  ///< Never rolled, and never will be: a higher version was rolled.
+  kRolled,      ///< In force, or was in force until a higher version was rolled.
+  kSuperseded,  ///< Never rolled and no longer rollable, because a higher version was.
 };
 BOOST_DESCRIBE_ENUM(BundleState, kSubmitted, kSigned, kRolled, kSuperseded)
 
-/// What operators see of one submitted bundle.
+/// Metadata of one submitted bundle, as shown to operators.
 struct BundleRecord {
   BundleVersion version;
   std::string digest;
@@ -38,7 +39,7 @@
 };
 BOOST_DESCRIBE_STRUCT(BundleRecord, (), (version, digest, author, reviewer, state, source_text))
 
-/// One bundle with its record.
+/// A bundle with its record.
 struct StoredBundle {
   Bundle bundle;
   BundleRecord record;
@@ -47,8 +48,8 @@
 };
 BOOST_DESCRIBE_STRUCT(StoredBundle, (), (bundle, record))
 
-/// What stays as it is from a service's first roll on, also while no bundle names the service: its
-/// shards keep their epochs for ever.
+/// The fields of a service that are immutable from its first roll on, also while no bundle contains
+/// the service: its shards keep their epochs permanently.
 struct FixedService {
   ServiceName name;
   ServiceKind kind = ServiceKind::kPooled;
@@ -69,7 +70,7 @@
 BOOST_DESCRIBE_STRUCT(BundleStoreState, (), (in_force, bundles, services_ever_rolled))
 
 /// A reviewer's signature, with the public key that the proposing leader trusts for that reviewer.
-/// The key travels in the log so that replicas with differing settings still decide alike.
+/// The key is part of the log command, so that replicas with different settings decide equally.
 struct SignatureCommand {
   BundleVersion version;
   std::string digest;
@@ -82,47 +83,47 @@
 BOOST_DESCRIBE_STRUCT(SignatureCommand, (),
                       (version, digest, reviewer, reviewer_key_base64, signature_base64))
 
-/// Bounds of the store. Part of the replicated behaviour, so they are no settings.
+/// Limits of the store. Part of the replicated behaviour, so they are not configurable.
 struct BundleStoreLimits {
-  std::size_t source_bytes_maximum = std::size_t{1} << 20;   ///< Of one bundle.
-  std::size_t bundles_maximum = 128;                         ///< Kept at once.
-  std::size_t history_bytes_maximum = std::size_t{8} << 20;  ///< Source text of all kept.
+  std::size_t source_bytes_maximum = std::size_t{1} << 20;   ///< Source text of one bundle.
+  std::size_t bundles_maximum = 128;                         ///< Bundles retained.
+  std::size_t history_bytes_maximum = std::size_t{8} << 20;  ///< Source text of all retained.
 };
 
-/// Looks a reviewer up in a control process's settings (reviewer -> public key).
+/// Returns a reviewer's public key from a control process's settings (reviewer -> public key).
 /// @return kPermissionDenied when the reviewer is not trusted.
 Result<std::string> TrustedKey(const std::map<std::string, std::string>& reviewer_keys,
                                const std::string& reviewer);
 
-/// Decides what happens to bundles.
+/// Store of submitted bundles and their rollout state.
 ///
-/// Invariants: the version in force never goes down; one version has one digest for as long as the
-/// store knows it or the version in force is not below it; only a bundle signed by someone other
+/// Invariants: the version in force never decreases; a version has one digest for as long as the
+/// store retains it or the version in force is not below it; only a bundle signed by someone other
 /// than its author is rolled.
 ///
-/// A deterministic state machine, applied from the log. Each step is idempotent: repeated with the
-/// same arguments it gives the same answer and changes nothing. Not thread safe.
+/// A deterministic state machine, applied from the log. Each command is idempotent: repeated with
+/// the same arguments it returns the same result and has no effect. Not thread safe.
 class BundleStore {
  public:
   explicit BundleStore(BundleStoreLimits limits = {});
 
-  /// Takes a checked bundle.
+  /// Stores a validated bundle.
   /// @param digest Digest(bundle), computed by the proposer.
-  /// @return kVersionConflict when the version is known with another digest or is not above the
-  ///     one in force; kFailedPrecondition when it changes what is fixed for a service's life;
+  /// @return kVersionConflict when the version exists with another digest or is not above the
+  ///     one in force; kFailedPrecondition when it changes an immutable field of a service;
   ///     kTooLarge; kOverloaded when too many bundles wait to be rolled.
   Result<void> Submit(const Bundle& bundle, const std::string& digest,
                       const std::string& source_text);
 
-  /// Records the review. The first valid signature stays; a second one is accepted and ignored.
+  /// Records a review. The first valid signature is stored; later ones are accepted and ignored.
   /// @return kNotFound, kVersionConflict, kPermissionDenied (own bundle, or wrong signature),
   ///     kInvalidArgument (malformed signature).
   Result<void> Sign(const SignatureCommand& command);
 
-  /// Puts a signed bundle in force. Rolling one again that was rolled before is accepted and does
-  /// not bring it back.
+  /// Puts a signed bundle in force. Rolling a bundle that was rolled before is accepted and has no
+  /// effect: an older bundle does not come into force again.
   /// @return kNotFound, kVersionConflict (other digest, or a higher version is in force),
-  ///     kFailedPrecondition (unsigned, or it changes what is fixed for a service's life).
+  ///     kFailedPrecondition (unsigned, or it changes an immutable field of a service).
   Result<void> Roll(BundleVersion version, const std::string& digest);
 
   /// The bundle in force, or nullptr. Valid until the next change of the store.
@@ -132,7 +133,7 @@
   /// The digest of the bundle in force; empty when there is none.
   std::string InForceDigest() const;
 
-  /// All known bundles in ascending order of version.
+  /// Records of all retained bundles in ascending order of version.
   std::vector<BundleRecord> Records() const;
 
   BundleStoreState Snapshot() const;
--- a/include/graniteseam/bundle/signature.h
+++ b/include/graniteseam/bundle/signature.h
@@ -16,14 +16,14 @@
   std::string public_key_base64;
 };
 
-/// Draws a new key pair from the operating system's random source.
+/// Generates a key pair from the operating system's random source.
 Result<KeyPair> GenerateKeyPair();
 
 /// Returns the public key that belongs to a private key.
 /// @return kInvalidArgument when the text is not base64 of 32 bytes.
 Result<std::string> PublicKeyOf(const std::string& private_key_base64);
 
-/// The text that a reviewer signs: "graniteseam-bundle:<version>:<digest>".
+/// Returns the text that a reviewer signs: "graniteseam-bundle:<version>:<digest>".
 std::string SignedText(BundleVersion version, const std::string& digest);
 
 /// Signs a bundle's version and digest.
@@ -31,9 +31,9 @@
 Result<std::string> SignDigest(const std::string& private_key_base64, BundleVersion version,
                                const std::string& digest);
 
-/// Checks a signature over a bundle's version and digest.
+/// Verifies a signature over a bundle's version and digest.
 /// @return kInvalidArgument for a malformed key or signature, kPermissionDenied when the signature
-///     does not belong to this key, version and digest.
+///     does not match this key, version and digest.
 Result<void> VerifySignature(const std::string& public_key_base64, BundleVersion version,
                              const std::string& digest, const std::string& signature_base64);
 
--- a/include/graniteseam/codec/codec.h
+++ b/include/graniteseam/codec/codec.h
@@ -1,6 +1,6 @@
 /// @file
 /// Typed encoding of described structs in Avro's binary form (Apache Avro 1.11 specification) over
-/// avro-c. The schema is derived from the description; see type_traits.h for the types taken.
+/// avro-c. The schema is derived from the description; type_traits.h lists the supported types.
 #pragma once
 
 #include <string>
@@ -11,11 +11,12 @@
 
 namespace graniteseam::codec {
 
-/// Input longer than this is refused before it is read.
+/// Largest encoded value in bytes; longer input is refused before it is decoded.
 inline constexpr std::size_t kEncodedBytesMaximum = 256UL << 20U;
 
-/// Decoded array elements may take this many times the input's length, plus a constant: what a
-/// hostile input can claim is bounded by what it sent.
+/// Decoded array elements may take this many bytes per byte of input, plus a constant allowance.
+/// This bounds the memory that a malicious input can cause to be allocated by the input's own
+/// length.
 inline constexpr std::size_t kDecodedBytesPerInputByte = 128;
 inline constexpr std::size_t kDecodedBytesAllowance = 64UL << 10U;
 
@@ -26,8 +27,8 @@
 
 }  // namespace internal
 
-/// Encodes a value. Thread safe. Enumerators that are not described are a defect and end the
-/// program.
+/// Encodes a value. Thread safe. Aborts the program on an enumerator that is not described, which
+/// is a defect.
 template <class T>
 std::string Encode(const T& object) {
   avro_value_t value;
@@ -35,8 +36,9 @@
   return internal::EncodeValue(value);
 }
 
-/// Decodes exactly one value that fills `bytes`. Thread safe; memory bounded by the input's length.
-/// @return kMalformedMessage when the bytes are not one whole T, kTooLarge beyond
+/// Decodes `bytes`, which hold exactly one value. Thread safe; memory is bounded by the input's
+/// length.
+/// @return kMalformedMessage when the bytes are not exactly one encoded T, kTooLarge beyond
 ///     kEncodedBytesMaximum.
 template <class T>
 Result<T> Decode(std::string_view bytes) {
--- a/include/graniteseam/codec/schema.h
+++ b/include/graniteseam/codec/schema.h
@@ -1,6 +1,6 @@
 /// @file
 /// Derives the Avro schema of a described C++ type. The schema text of every wire message is
-/// committed under schemas/ and a test holds the two equal.
+/// committed under schemas/, and a test verifies that the two are equal.
 #pragma once
 
 #include <boost/core/type_name.hpp>
@@ -15,8 +15,8 @@
 
 namespace internal {
 
-/// Writes schema JSON: one field a line, a named type in full only at its first mention.
-/// Not thread safe; used once a type.
+/// Writes schema JSON: one field per line, a named type in full only at its first occurrence. Not
+/// thread safe; one writer per schema.
 class SchemaWriter {
  public:
   void Primitive(std::string_view name);
@@ -26,13 +26,13 @@
   void EndUnion();
   /// Separates the branches of a union; call it before each.
   void Branch();
-  /// Begins a record, or mentions one written before.
+  /// Begins a record, or writes a reference to one that was written before.
   /// @return whether the caller must write the fields and call EndRecord().
   bool BeginRecord(std::string_view cpp_name);
   void Field(std::string_view name);
   void EndField();
   void EndRecord();
-  /// Begins an enumeration, or mentions one written before; as for BeginRecord().
+  /// Begins an enumeration, or writes a reference, as BeginRecord() does.
   bool BeginEnumeration(std::string_view cpp_name);
   void Symbol(std::string_view name);
   void EndEnumeration();
@@ -111,13 +111,13 @@
   } else if constexpr (Record<T>) {
     WriteRecordSchema<T>(writer);
   } else {
-    static_assert(kAlwaysFalse<T>, "the codec does not know this type; see type_traits.h");
+    static_assert(kAlwaysFalse<T>, "the codec does not support this type; see type_traits.h");
   }
 }
 
 }  // namespace internal
 
-/// The Avro schema of T as JSON, derived once. Thread safe.
+/// Returns the Avro schema of T as JSON, derived once. Thread safe.
 template <class T>
 const std::string& SchemaText() {
   static const std::string text = [] {
@@ -128,10 +128,11 @@
   return text;
 }
 
-/// CRC-64-AVRO (Avro 1.11 specification, "Schema Fingerprints") of a schema's text.
+/// Returns the CRC-64-AVRO (Avro 1.11 specification, "Schema Fingerprints") of a schema's text.
 std::uint64_t Fingerprint(std::string_view schema_text);
 
-/// The fingerprint of T's derived schema: equal on two sides exactly when they agree on T's form.
+/// Returns the fingerprint of T's derived schema. Two processes have equal fingerprints when they
+/// use the same schema for T.
 template <class T>
 std::uint64_t SchemaFingerprint() {
   static const std::uint64_t fingerprint = Fingerprint(SchemaText<T>());
--- a/include/graniteseam/codec/type_traits.h
+++ b/include/graniteseam/codec/type_traits.h
@@ -1,13 +1,13 @@
 /// @file
-/// Which C++ types the codec takes, and as which Avro type each is sent.
+/// The C++ types that the codec supports, and the Avro type that encodes each.
 ///
 /// | C++ | Avro |
 /// | --- | --- |
 /// | bool | boolean |
 /// | signed integers up to 32 bits, unsigned up to 16 bits | int |
-/// | other integers, NumericId, durations, instants | long (64-bit unsigned by bit pattern) |
+/// | other integers, NumericId, durations, instants | long (64-bit unsigned by its bit pattern) |
 /// | double, float | double |
-/// | std::string, NameId | bytes, so that any byte survives |
+/// | std::string, NameId | bytes, so that any byte is preserved |
 /// | described enumeration | enum |
 /// | described struct | record |
 /// | std::vector<T> | array |
@@ -55,11 +55,11 @@
 template <class T>
 concept Integer = std::is_integral_v<T> && !std::is_same_v<T, bool>;
 
-/// Integers sent as Avro int: every value fits 32 bits with sign.
+/// Integers encoded as Avro int: every value fits in 32 signed bits.
 template <class T>
 concept SmallInteger = Integer<T> &&(sizeof(T) < 4 || (sizeof(T) == 4 && std::is_signed_v<T>));
 
-/// Everything sent as Avro long.
+/// Types encoded as Avro long.
 template <class T>
 concept Long = (Integer<T> && !SmallInteger<T>) || kIsInstance<T, NumericId> || kIsDuration<T> ||
                kIsInstant<T>;
@@ -86,7 +86,7 @@
 template <class T>
 using Enumerators = boost::describe::describe_enumerators<T>;
 
-/// Tells the type of the member that a pointer points to: `decltype(MemberTypeOf(pointer))`.
+/// Gives the type of the member that a pointer refers to: `decltype(MemberTypeOf(pointer))`.
 template <class Class, class Member>
 Member MemberTypeOf(Member Class::*);
 
--- a/include/graniteseam/codec/value_binding.h
+++ b/include/graniteseam/codec/value_binding.h
@@ -1,6 +1,7 @@
 /// @file
 /// Binds described C++ types to avro-c's value interface, so that avro-c reads and writes them in
-/// place. One static interface a type; an avro_value_t borrows the C++ object and owns nothing.
+/// place. There is one static interface per type; an avro_value_t refers to the C++ object without
+/// owning it.
 #pragma once
 
 #include <avro.h>
@@ -15,11 +16,12 @@
 
 using Interface = avro_value_iface_t;
 
-/// Parses a derived schema; ends the program when avro-c refuses it, which is a defect.
+/// Parses a derived schema; aborts the program when avro-c rejects it, which is a defect.
 avro_schema_t ParseSchema(const std::string& text);
 
-/// Counts the memory that array elements take in the decoding under way on this thread.
-/// @return 0, or an avro-c error code when the decoding has used up its budget.
+/// Charges the memory of array elements to the budget of the decoding on this thread.
+/// @return 0, or an error code: ENOMEM when the budget is exhausted, EINVAL when this thread is not
+///     decoding.
 int ChargeDecodeBudget(std::size_t bytes);
 
 /// Copies the bytes of an avro-c buffer and frees it.
@@ -175,7 +177,8 @@
 template <class T>
 void SetVectorMethods(Interface& methods) {
   using Element = typename T::value_type;
-  static_assert(!std::is_same_v<Element, bool>, "std::vector<bool> has no elements to bind");
+  static_assert(!std::is_same_v<Element, bool>,
+                "std::vector<bool> has no addressable elements to bind");
   methods.get_size = [](const Interface*, const void* self, std::size_t* size) {
     *size = Self<T>(self).size();
     return 0;
@@ -282,7 +285,7 @@
   Interface methods{};
   methods.get_type = [](const Interface*, const void*) { return TypeOf<T>(); };
   methods.get_schema = [](const Interface*, const void*) { return SchemaOf<T>(); };
-  // Only a fresh object is read into.
+  // Values are decoded only into newly constructed objects, so there is nothing to reset.
   methods.reset = [](const Interface*, void*) { return 0; };
   constexpr avro_type_t kType = TypeOf<T>();
   if constexpr (kType == AVRO_BOOLEAN) SetBooleanMethods<T>(methods);
--- a/include/graniteseam/common/duration_text.h
+++ b/include/graniteseam/common/duration_text.h
@@ -1,5 +1,5 @@
 /// @file
-/// Durations as numbers and text for people.
+/// Conversion of durations to numbers and log text.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,7 @@
 
 inline double ToSeconds(Duration span) { return std::chrono::duration<double>(span).count(); }
 
-/// Whole milliseconds with their unit, for log lines.
+/// Formats a duration in whole milliseconds with the unit, for log lines.
 inline std::string InMs(Duration span) { return std::to_string(span.count() / 1000) + " ms"; }
 
 }  // namespace graniteseam
--- a/include/graniteseam/common/error.h
+++ b/include/graniteseam/common/error.h
@@ -1,11 +1,10 @@
 /// @file
-/// Typed errors over Boost.LEAF. An error has a kind, a message that says what went wrong, and a
-/// remedy that says what to do about it.
+/// Typed errors on Boost.LEAF. An error has a kind, a message with the cause, and a remedy.
 ///
 /// A function that can fail returns Result<T>. LEAF delivers the Error object to the nearest
 /// enclosing handler: use Attempt() (or boost::leaf::try_handle_all) where an error is handled and
-/// BOOST_LEAF_CHECK / BOOST_LEAF_AUTO where it is passed on. Without an enclosing handler the Error
-/// object is dropped, so every thread's top-level function must handle.
+/// BOOST_LEAF_CHECK / BOOST_LEAF_AUTO where it is propagated. Without an enclosing handler the
+/// Error object is lost, so every thread's top-level function must handle errors.
 #pragma once
 
 #include <boost/leaf.hpp>
@@ -17,16 +16,16 @@
 
 namespace graniteseam {
 
-/// What kind of thing went wrong. Names appear in logs, problem bodies and exit codes.
+/// Category of an error. Its name appears in logs and problem bodies, and determines exit codes.
 enum class ErrorKind {
-  kInvalidArgument,     ///< A value from outside breaks its documented form.
-  kInvalidSettings,     ///< A settings file or flag is wrong; lists every fault at once.
-  kInvalidBundle,       ///< A bundle breaks a rule of its format.
+  kInvalidArgument,     ///< An external value violates its documented form.
+  kInvalidSettings,     ///< A settings file or flag is invalid; lists every fault at once.
+  kInvalidBundle,       ///< A bundle violates a rule of its format.
   kMalformedMessage,    ///< Bytes from a peer do not decode under the expected schema.
   kTooLarge,            ///< A body, frame or file exceeds its documented limit.
-  kUnauthenticated,     ///< No valid credential was shown.
-  kPermissionDenied,    ///< The credential is valid but may not do this.
-  kNotFound,            ///< The named thing does not exist.
+  kUnauthenticated,     ///< No valid credential was presented.
+  kPermissionDenied,    ///< The credential is valid but does not permit this operation.
+  kNotFound,            ///< The named object does not exist.
   kVersionConflict,     ///< Same version with another digest, or lower than the newest.
   kFailedPrecondition,  ///< The state does not allow the step yet, for example rolling unsigned.
   kNotLeader,           ///< Another control process leads; the message names it when known.
@@ -37,16 +36,16 @@
   kOutcomeUnknown,      ///< The work may or may not have run; must not be repeated blindly.
   kStorageFull,         ///< No disk space; nothing was lost, nothing new is accepted.
   kStorageCorrupt,      ///< A checksum failed outside the torn tail.
-  kStorageIo,           ///< The operating system failed a read, write or sync.
-  kIncompatibleFormat,  ///< A data folder or message has a version this program does not know.
+  kStorageIo,           ///< A read, write or sync failed in the operating system.
+  kIncompatibleFormat,  ///< A data folder or message has a version that is not supported.
   kTransport,           ///< A connection failed, timed out or was closed.
-  kInternal,            ///< A broken invariant; a defect in the program.
+  kInternal,            ///< A violated invariant: a defect in the program.
 };
 
 /// Returns the stable lower_snake_case name of a kind, for example "not_leader".
 std::string_view ErrorKindName(ErrorKind kind);
 
-/// One error as reported to people and programs.
+/// One error as reported to operators and clients.
 struct Error {
   ErrorKind kind = ErrorKind::kInternal;
   std::string message;  ///< One sentence: what went wrong, with the values involved.
@@ -56,17 +55,18 @@
 /// Returns "kind: message Remedy: remedy".
 std::string ToString(const Error& error);
 
+/// A value of type T, or an error.
 template <class T>
 using Result = boost::leaf::result<T>;
 
 /// Raises an error: `return Fail(ErrorKind::kNotFound, "...", "...");`.
 boost::leaf::error_id Fail(ErrorKind kind, std::string message, std::string remedy);
 
-/// Raises an existing error again, for example one received from a peer.
+/// Re-raises an existing error, for example one received from a peer.
 boost::leaf::error_id Fail(Error error);
 
-/// The value of a Result, or the error that LEAF carried: for call sites that want to look at both
-/// without a handler, and for tests.
+/// The value of a Result, or the error that LEAF carried. For call sites that inspect both without
+/// a handler, and for tests.
 template <class T>
 using Outcome = std::variant<T, Error>;
 
@@ -87,7 +87,7 @@
 
 }  // namespace internal
 
-/// Runs `function`, which returns Result<T>, and captures what came of it.
+/// Runs `function`, which returns Result<T>, and captures its value or error.
 template <class Function>
 auto Attempt(Function&& function) {
   using R = std::decay_t<decltype(function())>;
--- a/include/graniteseam/common/hex.h
+++ b/include/graniteseam/common/hex.h
@@ -1,5 +1,5 @@
 /// @file
-/// Hexadecimal text of bytes.
+/// Hexadecimal encoding of bytes.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 /// Returns two lower-case hexadecimal digits for each byte.
 std::string ToHex(std::string_view bytes);
 
-/// The same for bytes that a library gave as unsigned.
+/// Overload for buffers of unsigned bytes, as libraries return them.
 inline std::string ToHex(const unsigned char* bytes, std::size_t count) {
   return ToHex({reinterpret_cast<const char*>(bytes), count});
 }
--- a/include/graniteseam/common/ids.h
+++ b/include/graniteseam/common/ids.h
@@ -1,6 +1,6 @@
 /// @file
-/// Identifiers shared by all components. Each is a type of its own, so that a shard number can not
-/// be passed where a term is wanted.
+/// Identifiers shared by all components. Each is a distinct type, so that a shard number cannot be
+/// passed in place of a term.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -11,7 +11,7 @@
 
 namespace graniteseam {
 
-/// A counter-like identifier that is a type of its own. `Tag` only tells types apart.
+/// A numeric identifier. `Tag` makes each use a distinct type.
 template <class Tag>
 struct NumericId {
   std::uint64_t value = 0;
@@ -20,7 +20,7 @@
   constexpr NumericId Next() const { return NumericId{value + 1}; }
 };
 
-/// A textual identifier that is a type of its own.
+/// A textual identifier. `Tag` makes each use a distinct type.
 template <class Tag>
 struct NameId {
   std::string value;
@@ -31,7 +31,8 @@
 
 /// A control process: the consensus member's stable id from its settings. Never 0.
 using ControlId = NumericId<struct ControlIdTag>;
-/// One life of a control process's data folder; drawn anew when a folder is initialised.
+/// Identifies one initialisation of a control process's data folder; generated when the folder is
+/// initialised.
 using DiskIncarnation = NumericId<struct DiskIncarnationTag>;
 /// A consensus term (Raft, Ongaro and Ousterhout 2014, section 5.1).
 using Term = NumericId<struct TermTag>;
@@ -39,12 +40,12 @@
 using LogIndex = NumericId<struct LogIndexTag>;
 /// A fencing epoch of one shard; strictly increases with each assignment, starts at 1.
 using Epoch = NumericId<struct EpochTag>;
-/// One start of a server process; differs between any two starts.
+/// Identifies one start of a server process; different for every start.
 using Incarnation = NumericId<struct IncarnationTag>;
 /// The version number of a bundle, chosen by its author, greater than 0.
 using BundleVersion = NumericId<struct BundleVersionTag>;
 
-/// A back-end server: stable name of the machine's server from its settings.
+/// A back-end server: the stable name of the machine's server from its settings.
 using ServerId = NameId<struct ServerIdTag>;
 /// A router process.
 using RouterId = NameId<struct RouterIdTag>;
--- a/include/graniteseam/common/seeded_defects.h
+++ b/include/graniteseam/common/seeded_defects.h
@@ -1,6 +1,6 @@
 /// @file
-/// Defects seeded on purpose, so that the simulator can show that it would find them. They are
-/// compiled only with GRANITESEAM_SEEDED_DEFECTS; without it DefectOn() is the constant false.
+/// Deliberate defects that verify that the simulator detects such faults. They are compiled only
+/// with GRANITESEAM_SEEDED_DEFECTS; without it DefectOn() is the constant false.
 #pragma once
 
 #include <array>
@@ -9,7 +9,7 @@
 
 namespace graniteseam {
 
-/// One step that the product relies on, left out or done wrongly.
+/// A safety-relevant step that is omitted or done incorrectly.
 enum class Defect {
   kNone,
   kNoWaitAfterElection,
@@ -22,31 +22,32 @@
   kNotRunAfterTimeout,
 };
 
+/// A defect with its name on the command line and its description.
 struct SeededDefect {
   Defect defect;
   const char* name;
   const char* description;
 };
 
-/// All defects, for lists and for the choice by name.
+/// All defects, for listing and selection by name.
 constexpr std::array<SeededDefect, 8> SeededDefects() {
   return {{
       {Defect::kNoWaitAfterElection, "no-wait-after-election",
-       "a new leader takes the leases that an earlier one gave for over"},
+       "a new leader treats the leases granted by an earlier leader as expired"},
       {Defect::kGrantNotBoundToReading, "grant-not-bound-to-reading",
-       "a server counts its lease from the receipt of the grant"},
+       "a server starts its lease at the receipt of the grant"},
       {Defect::kClaimAfterSend, "claim-after-send",
        "a request that may not be repeated is sent before its claim is committed"},
       {Defect::kLeaderWithoutLease, "leader-without-lease",
-       "a leader that was cut off goes on after its leader lease"},
+       "a partitioned leader continues after its leader lease has expired"},
       {Defect::kOldBundleAccepted, "old-bundle-accepted",
-       "a router that shows an old bundle gets its lease"},
+       "a router that reports an old bundle is granted its lease"},
       {Defect::kRenewalOfWrongSet, "renewal-of-wrong-set",
-       "a server extends its lease although it holds another set of shards"},
+       "a server extends its lease although it holds a different set of shards"},
       {Defect::kCommitWithoutCheck, "commit-without-check",
-       "a server makes an effect durable without checking its lease again"},
+       "a server makes an effect durable without rechecking its lease"},
       {Defect::kNotRunAfterTimeout, "not-run-after-timeout",
-       "an attempt that got no answer counts as one that did not run"},
+       "an attempt without a response counts as not run"},
   }};
 }
 
@@ -54,15 +55,15 @@
 inline constexpr bool kSeededDefectsCompiled = true;
 
 namespace internal {
-/// Set once before any decision maker runs, read by all threads.
+/// Set once before any state machine runs; read by all threads.
 inline Defect defect_on = Defect::kNone;
 }  // namespace internal
 
 inline bool DefectOn(Defect defect) { return internal::defect_on == defect; }
 
-/// Switches one defect on for the whole process.
-/// @return false when there is none of this name.
-inline bool SwitchOnDefect(std::string_view name) {
+/// Enables one defect for the whole process.
+/// @return false when no defect has this name.
+inline bool EnableDefect(std::string_view name) {
   for (const auto& seeded : SeededDefects()) {
     if (name != seeded.name) continue;
     internal::defect_on = seeded.defect;
@@ -73,7 +74,7 @@
 #else
 inline constexpr bool kSeededDefectsCompiled = false;
 constexpr bool DefectOn(Defect /*defect*/) { return false; }
-inline bool SwitchOnDefect(std::string_view /*name*/) { return false; }
+inline bool EnableDefect(std::string_view /*name*/) { return false; }
 #endif
 
 }  // namespace graniteseam
--- a/include/graniteseam/common/time.h
+++ b/include/graniteseam/common/time.h
@@ -1,9 +1,10 @@
 /// @file
-/// Time as the decision makers see it: instants and durations with microsecond resolution.
+/// Instants and durations with microsecond resolution, as used by the deterministic state machines.
 ///
-/// No decision maker reads a clock. Every entry point takes the current instant from its driver: a
-/// daemon passes CLOCK_BOOTTIME, the simulator passes virtual time. CLOCK_BOOTTIME keeps counting
-/// while a machine is suspended, so a process that wakes late sees that its leases are over.
+/// State machines never read a clock. Every entry point takes the current instant from its driver:
+/// a daemon passes CLOCK_BOOTTIME, the simulator passes virtual time. CLOCK_BOOTTIME includes the
+/// time in which a machine is suspended, so a process that resumes detects that its leases have
+/// expired.
 #pragma once
 
 #include <chrono>
@@ -11,11 +12,11 @@
 
 namespace graniteseam {
 
-/// A length of time in microseconds.
+/// A duration in microseconds.
 using Duration = std::chrono::microseconds;
 
-/// The clock of one machine: starts at an arbitrary origin, never steps back. Instants of two
-/// machines must not be compared; the tag keeps them apart from wall-clock instants.
+/// The monotonic clock of one machine, with an arbitrary origin. Instants of two machines must not
+/// be compared; the type distinguishes them from wall-clock instants.
 struct MachineClock {
   using duration = Duration;
   using rep = duration::rep;
--- a/include/graniteseam/consensus/types.h
+++ b/include/graniteseam/consensus/types.h
@@ -16,8 +16,8 @@
 
 namespace graniteseam::consensus {
 
-/// A member is known by its id together with its disk's incarnation: one that lost its disk is
-/// another member and may not use its old vote.
+/// A member of a group, identified by its id and its disk incarnation. A process that lost its disk
+/// is a different member, so that it cannot vote twice in one term.
 struct Member {
   ControlId id;
   DiskIncarnation disk;
@@ -25,11 +25,12 @@
   ZoneName zone;
 
   auto operator<=>(const Member&) const = default;
+  /// Compares the identity (id and disk incarnation), whatever the address and zone.
   bool IsSameMemberAs(const Member& other) const { return id == other.id && disk == other.disk; }
 };
 BOOST_DESCRIBE_STRUCT(Member, (), (id, disk, address, zone))
 
-/// Who votes and who only receives the log.
+/// The voters of a group and the learners, which receive the log without a vote.
 struct Membership {
   std::vector<Member> voters;
   std::vector<Member> learners;
@@ -38,10 +39,12 @@
 };
 BOOST_DESCRIBE_STRUCT(Membership, (), (voters, learners))
 
+/// The content of a log entry.
 enum class EntryKind { kNoop, kCommand, kMembership };
 BOOST_DESCRIBE_ENUM(EntryKind, kNoop, kCommand, kMembership)
 
-/// One entry of the replicated log. `payload` is a command's bytes, or an encoded Membership.
+/// One entry of the replicated log. `payload` is a command's bytes, an encoded Membership, or empty
+/// for a no-op.
 struct LogEntry {
   Term term;
   LogIndex index;
@@ -52,7 +55,7 @@
 };
 BOOST_DESCRIBE_STRUCT(LogEntry, (), (term, index, kind, payload))
 
-/// What a member must remember across restarts before it answers.
+/// Raft's persistent state beside the log; durable before a member responds.
 struct HardState {
   Term term;
   std::optional<Member> voted_for;
@@ -72,17 +75,19 @@
 };
 BOOST_DESCRIBE_STRUCT(Snapshot, (), (last_index, last_term, membership, data))
 
+/// RequestVote of an election or pre-vote round.
 struct VoteRequest {
   Term term;
   bool pre_vote = false;
   LogIndex last_index;
   Term last_term;
-  /// The leader of term - 1 gave up its lease and asked the sender to take over, so that voters
-  /// need not wait until that leader has been silent for long.
+  /// The leader of term - 1 gave up its lease and transferred leadership to the sender, so that
+  /// voters need not wait for the election timeout.
   bool leadership_transfer = false;
 };
 BOOST_DESCRIBE_STRUCT(VoteRequest, (), (term, pre_vote, last_index, last_term, leadership_transfer))
 
+/// Response to a VoteRequest.
 struct VoteResponse {
   Term term;
   bool pre_vote = false;
@@ -90,27 +95,29 @@
 };
 BOOST_DESCRIBE_STRUCT(VoteResponse, (), (term, pre_vote, granted))
 
+/// AppendEntries; a heartbeat when `entries` is empty.
 struct AppendRequest {
   Term term;
   LogIndex previous_index;
   Term previous_term;
   std::vector<LogEntry> entries;
   LogIndex commit_index;
-  std::int64_t round = 0;  ///< Echoed; lets the leader date its lease from the send of the round.
+  std::int64_t round = 0;  ///< Echoed, so that the leader lease counts from the round's send.
 };
 BOOST_DESCRIBE_STRUCT(AppendRequest, (),
                       (term, previous_index, previous_term, entries, commit_index, round))
 
+/// Response to an AppendRequest.
 struct AppendResponse {
   Term term;
   bool success = false;
-  LogIndex match_index;    ///< Highest index known to be durable and equal to the leader's.
-  LogIndex conflict_hint;  ///< On failure: where the leader should probe next.
+  LogIndex match_index;    ///< Highest index that is durable and equal to the leader's.
+  LogIndex conflict_hint;  ///< On failure: the index from which the leader sends next.
   std::int64_t round = 0;
 };
 BOOST_DESCRIBE_STRUCT(AppendResponse, (), (term, success, match_index, conflict_hint, round))
 
-/// One chunk of a snapshot; chunks go in order, one in flight.
+/// One chunk of a snapshot; chunks are sent in order, one in flight.
 struct InstallSnapshotRequest {
   Term term;
   LogIndex last_index;
@@ -124,46 +131,50 @@
 BOOST_DESCRIBE_STRUCT(InstallSnapshotRequest, (),
                       (term, last_index, last_term, membership, offset, done, chunk, round))
 
+/// Response to an InstallSnapshotRequest.
 struct InstallSnapshotResponse {
   Term term;
-  std::int64_t next_offset = 0;
+  std::int64_t next_offset = 0;  ///< Offset of the next chunk expected.
   bool installed = false;
   std::int64_t round = 0;
 };
 BOOST_DESCRIBE_STRUCT(InstallSnapshotResponse, (), (term, next_offset, installed, round))
 
-/// From a leader that has given up its lease for the rest of `term`: stand for election at once.
+/// Leadership transfer: starts an election at the receiver at once. The sending leader has given up
+/// its lease for the rest of `term`.
 struct TimeoutNowRequest {
   Term term;
 };
 BOOST_DESCRIBE_STRUCT(TimeoutNowRequest, (), (term))
 
-/// From a process that is in no membership, or heard of no leader for long and may have been
-/// removed: tells its disk incarnation, so that a group can be founded, or the leader can take it
-/// in as a learner. `to.disk` is 0 while it is unknown.
+/// Announces the sender's disk incarnation. Sent by a process that is in no membership, or that had
+/// no contact with a leader for long and may have been removed, so that a group can be bootstrapped
+/// or the leader can add the process as a learner. `to.disk` is 0 while it is unknown.
 struct Announcement {
-  bool founding = false;  ///< Is one of the first voters of a group that is being created.
+  bool founding = false;  ///< The sender is an initial voter of a group being created.
 };
 BOOST_DESCRIBE_STRUCT(Announcement, (), (founding))
 
-/// From a member to its leader: instances whose heartbeats it took for it. Goes the way of the
-/// other messages; consensus itself does not read it.
+/// Heartbeats of instances that a member received on behalf of its leader. Carried as a peer
+/// message and ignored by the consensus code itself.
 struct HeartbeatRelay {
-  std::vector<std::string> instances;  ///< They told nothing new.
-  std::string changes;  ///< A command with the reports that did, to be proposed; may be empty.
+  std::vector<std::string> instances;  ///< Their reports are unchanged.
+  std::string changes;  ///< A command with the changed reports, to be proposed; may be empty.
 };
 BOOST_DESCRIBE_STRUCT(HeartbeatRelay, (), (instances, changes))
 
+/// The content of a PeerMessage.
 using PeerPayload =
     std::variant<VoteRequest, VoteResponse, AppendRequest, AppendResponse, InstallSnapshotRequest,
                  InstallSnapshotResponse, TimeoutNowRequest, Announcement, HeartbeatRelay>;
 
 /// A message between two control processes.
 ///
-/// A receiver drops one whose `to` is not itself with its present disk incarnation. Responses count
-/// only from members with the incarnation that the membership names, so a vote or acknowledgement
-/// of a lost disk never makes up a quorum. Requests are taken from anyone, as Raft demands: a
-/// member that was away may not know its present leader yet.
+/// A receiver drops a message whose `to` is not itself with its current disk incarnation; only
+/// announcements may leave the incarnation 0. Responses count only from members with the
+/// incarnation in the membership, so that votes and acknowledgements of a lost disk never count
+/// towards a quorum. Requests are accepted from any sender, as Raft requires: a member that was
+/// disconnected may hold an older membership without its current leader.
 struct PeerMessage {
   Member from;
   Member to;
--- a/include/graniteseam/operation/messages.h
+++ b/include/graniteseam/operation/messages.h
@@ -1,6 +1,6 @@
 /// @file
-/// What routers and the operation journal say to each other: claims, verdicts, completions and kept
-/// answers. See docs/design/operation-journal.md.
+/// Messages between routers and the operation journal: claims, verdicts, completions and retained
+/// responses. See docs/design/operation-journal.md.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -14,7 +14,7 @@
 
 namespace graniteseam::operation {
 
-/// An answer kept for resends.
+/// A response retained for retries of the operation.
 struct KeptAnswer {
   std::int32_t status = 0;
   std::string content_type;
@@ -23,36 +23,39 @@
   bool operator==(const KeptAnswer&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(KeptAnswer, (), (status, content_type, body))
+/// Largest response body that is retained, in bytes.
 inline constexpr std::size_t kKeptBodyBytesMaximum = std::size_t{16} * 1024;
 
-/// Asks for the sole right to run an operation. Answered only once committed.
+/// Requests the exclusive right to run an operation. The response is sent only once the claim is
+/// committed.
 struct ClaimRequest {
   OperationId operation;
   ServiceName service;
   GroupName group;
-  std::string request_digest;  ///< Guards against one id used for two different requests.
-  std::uint64_t claim = 0;     ///< Random number of this claim, so that a resent claim is known.
+  std::string request_digest;  ///< Detects one id used for two different requests.
+  std::uint64_t claim = 0;     ///< Random number that identifies this claim when it is resent.
 
   bool operator==(const ClaimRequest&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(ClaimRequest, (), (operation, service, group, request_digest, claim))
 
-/// What the journal says to a claim. Only kExpired and kFull prove that the operation did not run.
+/// The journal's decision on a claim. Only kExpired and kFull prove that the operation did not run.
 enum class ClaimVerdict {
-  kClaimed,         ///< Send it; this claim alone may.
-  kInProgress,      ///< Another claim holds it and has not finished: outcome unknown.
-  kAnswered,        ///< It ran. `answer` holds the kept answer, or is absent when the answer was
-                    ///< too large or had to be dropped.
-  kUnknownOutcome,  ///< Finished without a known outcome, or so old that the journal may have
-                    ///< forgotten it: outcome unknown, never to be run again.
-  kMismatch,        ///< Same id, other request.
+  kClaimed,     ///< This claim alone holds the operation: the request may be sent.
+  kInProgress,  ///< Another claim holds it and has not completed: outcome unknown.
+  kAnswered,    ///< It ran. `answer` holds the retained response, or is absent when the response
+                ///< was too large or was evicted.
+  kUnknownOutcome,  ///< Completed without a known outcome, or so old that the journal may have
+                    ///< expired it: outcome unknown, never to be run again.
+  kMismatch,        ///< The id was used for a different request or group.
   kExpired,         ///< Never claimed, and the id is older than the retention window, too far in
                     ///< the future, or no UUID of version 7: not run.
-  kFull,            ///< The journal has no room for a new operation: not run; try later.
+  kFull,            ///< The journal has reached its entry limit: not run; retry later.
 };
 BOOST_DESCRIBE_ENUM(ClaimVerdict, kClaimed, kInProgress, kAnswered, kUnknownOutcome, kMismatch,
                     kExpired, kFull)
 
+/// Response to a ClaimRequest.
 struct ClaimResult {
   OperationId operation;
   std::uint64_t claim = 0;
@@ -63,14 +66,15 @@
 };
 BOOST_DESCRIBE_STRUCT(ClaimResult, (), (operation, claim, verdict, answer))
 
+/// Outcome reported by the holder of a claim.
 enum class CompletionKind {
-  kAnswered,        ///< Ran; answer kept.
+  kAnswered,        ///< Ran; the response is retained.
   kNotRun,          ///< Provably did not run: the id may be claimed again.
-  kUnknownOutcome,  ///< May have run: never again.
+  kUnknownOutcome,  ///< May have run: the id may never be claimed again.
 };
 BOOST_DESCRIBE_ENUM(CompletionKind, kAnswered, kNotRun, kUnknownOutcome)
 
-/// Ends a claim. Counts only when `claim` is the one that holds the operation.
+/// Ends a claim. Applied only when `claim` is the one that holds the operation.
 struct Completion {
   OperationId operation;
   ServiceName service;
--- a/include/graniteseam/operation/operation_journal.h
+++ b/include/graniteseam/operation/operation_journal.h
@@ -1,6 +1,6 @@
 /// @file
-/// The operation journal: the replicated record that lets an operation which may not be repeated
-/// run at most once. See docs/design/operation-journal.md.
+/// The operation journal: the replicated record that makes non-repeatable operations run at most
+/// once. See docs/design/operation-journal.md.
 #pragma once
 
 #include <array>
@@ -18,7 +18,7 @@
 
 namespace graniteseam::operation {
 
-/// Where one operation stands.
+/// State of one operation.
 enum class OperationState { kClaimed, kNotRun, kAnswered, kUnknownOutcome };
 BOOST_DESCRIBE_ENUM(OperationState, kClaimed, kNotRun, kAnswered, kUnknownOutcome)
 
@@ -38,7 +38,8 @@
 /// One service's part of a snapshot.
 struct ServiceJournalState {
   ServiceName service;
-  /// Milliseconds since 1970 of the newest operation id that was ever forgotten; -1 for none.
+  /// Time of the newest operation id that was ever expired, in milliseconds since 1970; -1 for
+  /// none.
   std::int64_t forgotten_until_ms = -1;
   std::vector<JournalEntry> entries;  ///< In ascending order of operation id.
 
@@ -54,44 +55,45 @@
 };
 BOOST_DESCRIBE_STRUCT(OperationJournalState, (), (services))
 
-/// Bounds of the journal. Part of the replicated behaviour: all replicas must use the same, so
-/// they are no settings.
+/// Limits of the journal. Part of the replicated behaviour: all replicas must use the same values,
+/// so they are not configurable.
 struct JournalLimits {
-  std::size_t entries_maximum = 1'000'000;
-  std::size_t answer_bytes_maximum = std::size_t{128} << 20;
-  /// How far an id's time may lie ahead of the log command's wall time.
+  std::size_t entries_maximum = 1'000'000;                    ///< Operations of all services.
+  std::size_t answer_bytes_maximum = std::size_t{128} << 20;  ///< Retained responses, in total.
+  /// Largest amount by which an id's time may be ahead of the log command's wall time.
   std::int64_t future_maximum_ms = 60'000;
 };
 
-/// Decides who may run an operation.
+/// Grants the exclusive right to run an operation.
 ///
 /// Invariant: for each (service, operation id), kClaimed is returned to a second claim number only
-/// after the first holder's completion said that it did not run. Forgetting keeps this: an id that
-/// is not newer than the newest one ever forgotten is never claimed again.
+/// after the first holder's completion reported that it did not run. Expiry preserves this: an id
+/// that is not newer than the newest one ever expired is never claimed again.
 ///
 /// A deterministic state machine, applied from the log in the same order on every replica: wall
-/// time comes with the log command and may jump in either direction. A jump forward or back refuses
-/// claims while it lasts and harms nothing. Not thread safe.
+/// time comes with the log command and may jump in either direction. A jump causes claims to be
+/// refused while it lasts and does not affect safety. Not thread safe.
 class OperationJournal {
  public:
   explicit OperationJournal(JournalLimits limits = {});
 
   /// Applies a claim.
-  /// @param retention_ms the service's window, from the bundle in force at this log position.
+  /// @param retention_ms the service's window, from the bundle active at this log position.
   /// @param wall_ms milliseconds since 1970 as stamped on the log command by its proposer.
   ClaimResult Claim(const ClaimRequest& request, std::int64_t retention_ms, std::int64_t wall_ms);
 
-  /// Applies a completion. One from a claim that does not hold the operation changes nothing.
-  /// A resent completion changes nothing. An unknown outcome may still become an answer.
+  /// Applies a completion. A resent completion, or one from a claim that does not hold the
+  /// operation, has no effect. An unknown outcome may still become an answer.
   void Complete(const Completion& completion);
 
-  /// Forgets a service's operations whose id is older than `wall_ms - retention_ms`, whatever
-  /// their state, `entries_maximum` at most.
-  /// @return the number forgotten.
+  /// Removes a service's operations whose id is older than `wall_ms - retention_ms`, in any state,
+  /// up to `entries_maximum` of them.
+  /// @return the number removed.
   std::size_t Expire(const ServiceName& service, std::int64_t retention_ms, std::int64_t wall_ms,
                      std::size_t entries_maximum);
 
   std::size_t entry_count() const { return entry_count_; }
+  /// Memory held by retained responses.
   std::size_t answer_bytes() const { return answer_bytes_; }
 
   OperationJournalState Snapshot() const;
@@ -112,7 +114,7 @@
   struct ServiceJournal {
     std::int64_t forgotten_until_ms = -1;
     std::map<OperationKey, Entry> entries;
-    /// Answers kept, oldest id first; the first to be dropped when space runs out.
+    /// Sizes of retained responses in bytes, oldest id first; the oldest is evicted first.
     std::map<OperationKey, std::size_t> answer_sizes;
   };
 
@@ -120,7 +122,7 @@
   static std::int64_t TimeOf(const OperationKey& key);
   static OperationId FormatKey(const OperationKey& key);
 
-  /// How much a state says about the operation; completions only ever raise it.
+  /// Order of the states by how much is known of the outcome; a completion can only raise it.
   static int Rank(OperationState state);
 
   ClaimVerdict ClaimExisting(Entry& entry, const ClaimRequest& request, bool too_old) const;
--- a/simulation/simulator/main.cc
+++ b/simulation/simulator/main.cc
@@ -280,7 +280,7 @@
   }
   const auto* in_traffic = settings.Traffic() ? FindTrafficDefect(settings.defect) : nullptr;
   if (!settings.defect.empty() && in_traffic == nullptr &&
-      !graniteseam::SwitchOnDefect(settings.defect)) {
+      !graniteseam::EnableDefect(settings.defect)) {
     ExitWithUsage("no defect " + settings.defect + " in this build; see --list.");
   }
   const auto threads = settings.threads > 0 ? static_cast<unsigned>(settings.threads)
--- a/src/bundle/bundle_fields.cc
+++ b/src/bundle/bundle_fields.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Fields follow the types' descriptions, so that a member added to a described type can't be left
-/// out of the digest.
+/// Flattens a bundle into fields by the types' descriptions, so that a member added to a described
+/// type is always part of the digest.
 
 #include "src/bundle/bundle_fields.h"
 
@@ -30,6 +30,7 @@
   return quoted + '"';
 }
 
+/// Collects the fields of described values by path.
 class FieldCollector {
  public:
   void Add(const std::string& path, bool value) { fields_[path] = value ? "true" : "false"; }
@@ -60,7 +61,7 @@
     Add(path, id.value);
   }
 
-  /// Names are a set: their order in the file means nothing.
+  /// Adds a set of names; sorted, since their order in the file is not significant.
   void Add(const std::string& path, std::vector<ServiceName> names) {
     std::sort(names.begin(), names.end());
     std::string text;
--- a/src/bundle/bundle_parser.cc
+++ b/src/bundle/bundle_parser.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Reads bundles from TOML with toml++. Every rule of the format is in this file; each broken one
-/// adds a fault, and all faults are told at once.
+/// Parses bundles from TOML with toml++. This file holds every rule of the format. Each violation
+/// adds a fault, and all faults are reported together.
 
 #include <toml++/toml.h>
 
@@ -19,7 +19,8 @@
 constexpr std::size_t kNameMaximum = 63;
 constexpr std::size_t kKeyPrefixMaximum = 256;
 constexpr std::size_t kFaultsShown = 50;
-constexpr std::int64_t kVersionMaximum = std::int64_t{1} << 53;  // Exact in JSON's numbers.
+/// Largest integer up to which JSON numbers are exact.
+constexpr std::int64_t kVersionMaximum = std::int64_t{1} << 53;
 constexpr std::int64_t kShardsMaximum = 1'000'000;
 constexpr std::int64_t kDeadlineMaximumMs = std::int64_t{10} * 60 * 1000;
 constexpr std::int64_t kLeaseMinimumMs = 100;
@@ -55,7 +56,7 @@
     }
     if (faults_.size() > kFaultsShown) message += "\nThe rest is not shown.";
     return {ErrorKind::kInvalidBundle, message,
-            "Mend each line named, then try again with `graniteseamctl bundle check`."};
+            "Correct each line listed, then try again with `graniteseamctl bundle check`."};
   }
 
  private:
@@ -74,7 +75,8 @@
 constexpr std::string_view kNameRemedy =
     "Use 1 to 63 lower-case letters, digits and hyphens, not beginning with a hyphen.";
 
-/// Reads one table's keys and remembers which it was asked for, so that the rest are faults.
+/// Reads the keys of one table and records which were requested, so that all others are reported as
+/// unknown.
 class TableReader {
  public:
   TableReader(const toml::table& table, std::string path, FaultList& faults)
@@ -82,7 +84,7 @@
 
   bool Has(std::string_view key) const { return table_.contains(key); }
 
-  /// A string that must be given; nothing when the fault is already told.
+  /// Reads a required string; nullopt when it is missing or invalid, which adds a fault.
   std::optional<std::string> Text(std::string_view key) {
     return Require<std::string>(key, "a string");
   }
@@ -112,7 +114,7 @@
   }
 
   std::vector<std::string> Texts(std::string_view key) {
-    Ask(key);
+    MarkRequested(key);
     std::vector<std::string> texts;
     const toml::array* array = table_[key].as_array();
     if (array == nullptr) {
@@ -123,7 +125,7 @@
       if (const auto text = element.value_exact<std::string>()) {
         texts.push_back(*text);
       } else {
-        Fault(key, "An element is no string.", "Put each element in quotes.");
+        Fault(key, "An element is not a string.", "Put each element in quotes.");
       }
     }
     return texts;
@@ -132,7 +134,7 @@
   /// Calls `read(name, table)` for each table of a table of tables.
   template <class Function>
   void ForEachTable(std::string_view key, const Function& read) {
-    Ask(key);
+    MarkRequested(key);
     const toml::table* tables = table_[key].as_table();
     if (tables == nullptr || tables->empty()) {
       Fault(key, "At least one is needed.", "Add a table [" + Path(key) + ".NAME].");
@@ -151,9 +153,9 @@
     }
   }
 
-  /// A subtable's reader; without the subtable one over an empty table.
+  /// Returns a reader of a subtable, or of an empty table when the subtable is absent.
   TableReader Subtable(std::string_view key) {
-    Ask(key);
+    MarkRequested(key);
     static const toml::table empty_table;
     if (const toml::table* table = table_[key].as_table()) {
       return TableReader(*table, Path(key), faults_);
@@ -167,7 +169,7 @@
     faults_.Add(node != nullptr ? node->source() : table_.source(), Path(key), message, remedy);
   }
 
-  /// Adds a fault for each key that nothing asked for. Call it last.
+  /// Adds a fault for each key that was not requested. Called after all keys are read.
   void ReportUnknownKeys() {
     for (const auto& [key, node] : table_) {
       if (requested_keys_.contains(key.str())) continue;
@@ -182,11 +184,11 @@
   std::string Path(std::string_view key) const {
     return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
   }
-  void Ask(std::string_view key) { requested_keys_.emplace(key); }
+  void MarkRequested(std::string_view key) { requested_keys_.emplace(key); }
 
   template <class T>
   std::optional<T> Require(std::string_view key, const std::string& what) {
-    Ask(key);
+    MarkRequested(key);
     if (Has(key)) return ReadGiven<T>(key, what);
     Fault(key, "The key is missing.", "Give it " + what + ".");
     return std::nullopt;
@@ -194,14 +196,14 @@
 
   template <class T>
   T Read(std::string_view key, const std::string& what, const T& fallback) {
-    Ask(key);
+    MarkRequested(key);
     return Has(key) ? ReadGiven<T>(key, what).value_or(fallback) : fallback;
   }
 
   template <class T>
   std::optional<T> ReadGiven(std::string_view key, const std::string& what) {
     const toml::node& node = *table_.get(key);
-    // An integer may stand where any number may; nothing else is converted.
+    // An integer is accepted for a floating-point value; nothing else is converted.
     auto value =
         std::is_same_v<T, double> && node.is_integer() ? node.value<T>() : node.value_exact<T>();
     if (!value.has_value()) {
@@ -248,7 +250,7 @@
   if (kind == "keyed") {
     service.kind = ServiceKind::kKeyed;
   } else if (kind != "pooled") {
-    // The kind's other rules can't be checked.
+    // Without a valid kind its other rules are not checked.
     if (kind.has_value()) {
       reader.Fault("kind", "The kind is not known.", "Give \"keyed\" or \"pooled\".");
     }
@@ -266,7 +268,7 @@
                  "Set hedging to false.");
   }
   if (service.repeatable && reader.Has("operation_retention_ms")) {
-    reader.Fault("operation_retention_ms", "A repeatable service keeps no operations.",
+    reader.Fault("operation_retention_ms", "A repeatable service has no operation journal.",
                  "Remove the key.");
   }
   service.operation_retention_ms =
@@ -297,7 +299,8 @@
   ReadKind(reader, service);
   ReadLimits(reader, service);
   ReadRepeatable(reader, service);
-  // Else a resend within a request's own deadline could find its record forgotten.
+  // Otherwise the record of an operation could expire before a resend within the request's
+  // deadline.
   if (!service.repeatable && service.operation_retention_ms <= service.deadline_maximum_ms) {
     reader.Fault("operation_retention_ms", "It is not above deadline_maximum_ms.",
                  "Give more than " + std::to_string(service.deadline_maximum_ms) + ".");
@@ -332,7 +335,7 @@
     reader.Fault("key_prefix", "The prefix is too long.", "Give at most 256 bytes.");
   }
   group.share = reader.Weight("share", group.share);
-  if (group.share <= 0) reader.Fault("share", "A share of 0 is none.", "Give more than 0.");
+  if (group.share <= 0) reader.Fault("share", "The share must be above 0.", "Give more than 0.");
   group.queue_maximum = static_cast<std::uint32_t>(
       reader.Integer("queue_maximum", group.queue_maximum, 0, kQueueMaximum));
   reader.ReportUnknownKeys();
@@ -367,7 +370,7 @@
 Result<Bundle> ParseBundle(const std::string& toml_text, const std::string& file_name) {
   if (toml_text.size() > BundleStoreLimits{}.source_bytes_maximum) {
     return Fail(ErrorKind::kTooLarge, file_name + " is larger than 1 MiB.",
-                "Shorten the bundle; it is kept by every control process.");
+                "Shorten the bundle; every control process stores it.");
   }
   FaultList faults(file_name);
   Bundle bundle;
@@ -375,7 +378,7 @@
     bundle = ReadBundle(toml::parse(std::string_view(toml_text)), faults);
   } catch (const toml::parse_error& error) {
     faults.Add(error.source(), "", std::string(error.description()) + ".",
-               "Mend the TOML syntax of this line.");
+               "Correct the TOML syntax of this line.");
   }
   if (!faults.empty()) return Fail(faults.ToError());
   return bundle;
--- a/src/bundle/bundle_store.cc
+++ b/src/bundle/bundle_store.cc
@@ -11,7 +11,7 @@
 
 std::string Name(BundleVersion version) { return "Version " + std::to_string(version.value); }
 
-/// Names differing in case only count as one person.
+/// Compares names without regard to case, so that an author cannot review under another spelling.
 bool SamePerson(const std::string& left, const std::string& right) {
   const auto lower = [](char c) { return std::tolower(static_cast<unsigned char>(c)); };
   return std::equal(left.begin(), left.end(), right.begin(), right.end(),
@@ -36,7 +36,7 @@
 Result<void> BundleStore::Submit(const Bundle& bundle, const std::string& digest,
                                  const std::string& source_text) {
   if (const auto known = bundles_.find(bundle.version); known != bundles_.end()) {
-    // A resend gets the answer of the first, whatever has become of the bundle since.
+    // A resend succeeds as the first submission did, whatever the bundle's state is now.
     if (known->second.record.digest == digest) return {};
     return Fail(ErrorKind::kVersionConflict,
                 Name(bundle.version) + " was submitted before with digest " +
@@ -164,14 +164,15 @@
     if (fixed.kind == service.kind && fixed.shard_count == service.shard_count) continue;
     return Fail(ErrorKind::kFailedPrecondition,
                 "Service \"" + service.name.value + "\" is " + KindName(fixed.kind) + " with " +
-                    std::to_string(fixed.shard_count) + " shards, and that stays.",
+                    std::to_string(fixed.shard_count) + " shards, which cannot change.",
                 "Keep its kind and shard_count, or give the service another name.");
   }
   return {};
 }
 
-/// Drops the oldest bundles below the one in force. Those above it wait to be rolled and stay.
-/// Keeps the invariant on digests: what is dropped can't be submitted again.
+/// Evicts the oldest bundles below the one in force until `source_bytes` more fit. Bundles above it
+/// may still be rolled and are retained. This preserves the invariant on digests, since a version
+/// below the one in force cannot be submitted again.
 Result<void> BundleStore::EvictOldBundles(std::size_t source_bytes) {
   std::size_t bytes = SourceBytes() + source_bytes;
   const auto full = [&] {
--- a/src/bundle/canonical_text.cc
+++ b/src/bundle/canonical_text.cc
@@ -14,7 +14,7 @@
 namespace graniteseam::bundle {
 namespace {
 
-/// Named in the digest, so that a later form can't be taken for this one.
+/// Part of the digest, so that texts of a later format never have the same digest.
 constexpr std::string_view kFormatLine = "graniteseam-bundle-text 1\n";
 
 }  // namespace
--- a/src/bundle/signature.cc
+++ b/src/bundle/signature.cc
@@ -24,7 +24,7 @@
 using Context = std::unique_ptr<EVP_MD_CTX, ContextDeleter>;
 
 std::string EncodeBase64(const Bytes& bytes) {
-  std::string text(4 * ((bytes.size() + 2) / 3) + 1, '\0');  // OpenSSL ends it with a zero.
+  std::string text(4 * ((bytes.size() + 2) / 3) + 1, '\0');  // OpenSSL adds a terminating zero.
   const int length = EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()), bytes.data(),
                                      static_cast<int>(bytes.size()));
   text.resize(static_cast<std::size_t>(length));
@@ -39,7 +39,7 @@
         EVP_DecodeBlock(bytes.data(), reinterpret_cast<const unsigned char*>(text.data()),
                         static_cast<int>(text.size()));
     bytes.resize(size);
-    // Encoding again refuses other spellings of the same bytes.
+    // Comparing with the re-encoded bytes rejects non-canonical base64.
     if (decoded >= 0 && EncodeBase64(bytes) == text) return bytes;
   }
   return Fail(ErrorKind::kInvalidArgument,
@@ -79,7 +79,7 @@
   Bytes bytes(kKeyBytes);
   std::size_t size = bytes.size();
   if (!key || EVP_PKEY_get_raw_private_key(key.get(), bytes.data(), &size) != 1) {
-    return FailOpenSsl("draw an Ed25519 key");
+    return FailOpenSsl("generate an Ed25519 key");
   }
   BOOST_LEAF_AUTO(public_base64, PublicBase64(key.get()));
   return KeyPair{EncodeBase64(bytes), public_base64};
--- a/src/codec/codec.cc
+++ b/src/codec/codec.cc
@@ -17,8 +17,9 @@
   std::abort();
 }
 
-/// Bounds and cleans up what avro-c allocates while it decodes on this thread: it trusts a length
-/// before it looks whether so many bytes follow, and forgets the buffer when they don't.
+/// Bounds and releases the memory that avro-c allocates while it decodes on this thread. avro-c
+/// allocates a buffer of the length in the input before it checks that so many bytes follow, and
+/// leaks the buffer when they do not.
 class DecodeScope {
  public:
   explicit DecodeScope(std::size_t input_bytes)
@@ -43,7 +44,7 @@
     return moved;
   }
 
-  /// Sets the scope aside while something that outlives it is allocated.
+  /// Suspends tracking while memory that outlives the scope is allocated.
   class Suspension {
    public:
     Suspension() : suspended_(std::exchange(current_, nullptr)) {}
@@ -55,7 +56,7 @@
     DecodeScope* suspended_;
   };
 
-  /// Ends the tracking of a block, if it is tracked.
+  /// Stops tracking a block; no effect when it is not tracked.
   void Untrack(void* block) {
     const auto found = std::find(live_.rbegin(), live_.rend(), block);
     if (found != live_.rend()) live_.erase(std::next(found).base());
@@ -68,7 +69,8 @@
   }
 
  private:
-  /// avro-c adds a terminator to each buffer and allocates small control blocks.
+  /// Allowance in bytes: avro-c adds a terminator to each buffer and allocates small control
+  /// blocks.
   static constexpr std::size_t kSlack = 256;
   static thread_local DecodeScope* current_;
 
@@ -89,7 +91,8 @@
   return scope != nullptr ? scope->Reallocate(block, new_size) : std::realloc(block, new_size);
 }
 
-/// Must run before avro-c allocates anything, so that every block has one owner.
+/// Must run before the first allocation by avro-c, so that every block is freed by the allocator
+/// that created it.
 void InstallAllocator() {
   static std::once_flag once;
   std::call_once(once, [] { avro_set_allocator(&Allocate, nullptr); });
@@ -145,9 +148,9 @@
 std::string EncodeValue(avro_value_t value) {
   InstallAllocator();
   std::size_t size = 0;
-  if (avro_value_sizeof(&value, &size) != 0) Abort("a value can not be sized");
+  if (avro_value_sizeof(&value, &size) != 0) Abort("cannot compute the size of a value");
   std::string bytes(size, '\0');
-  if (avro_value_write(ThreadWriter(bytes), &value) != 0) Abort("a value can not be written");
+  if (avro_value_write(ThreadWriter(bytes), &value) != 0) Abort("cannot write a value");
   return bytes;
 }
 
--- a/src/consensus/election.cc
+++ b/src/consensus/election.cc
@@ -1,11 +1,12 @@
 /// @file
-/// Pre-vote, votes and the silence that leader leases rest on.
+/// Pre-vote and elections, and the refusal of votes on which leader leases rely.
 #include "src/consensus/raft_impl.h"
 
 namespace graniteseam::consensus {
 
 void RaftConsensus::Impl::ResetElectionDeadline(Instant now) {
-  // Never below the minimum: a member keeps its own promise of silence too.
+  // At least the minimum, so that this member's own candidacy also waits until the lease of the
+  // leader that it acknowledged has ended.
   std::uniform_int_distribution<std::int64_t> jitter(
       0, (options_.election_timeout_maximum - options_.election_timeout_minimum).count());
   election_deadline_ = now + options_.election_timeout_minimum + Duration(jitter(random_));
@@ -16,8 +17,8 @@
 }
 
 void RaftConsensus::Impl::BecomePreCandidate(Instant now) {
-  // Asking first keeps a member that cannot win from raising terms and unseating a leader
-  // (dissertation, 9.6).
+  // Pre-vote prevents a member that cannot win an election from raising the term and deposing the
+  // leader (dissertation, 9.6).
   leader_.reset();
   SetRole(Role::kPreCandidate);
   votes_.clear();
@@ -30,7 +31,7 @@
   leader_.reset();
   hard_state_ = {hard_state_.term.Next(), self_};
   SaveHardState();
-  CurrentPendingPersist().own_vote = true;  // Counted when it is durable.
+  CurrentPendingPersist().own_vote = true;  // Counted once it is durable.
   SetRole(Role::kCandidate);
   votes_.clear();
   ResetElectionDeadline(now);
@@ -68,9 +69,10 @@
 
 void RaftConsensus::Impl::OnVoteRequest(const Member& from, const VoteRequest& request,
                                         Instant now) {
-  // Lease: whoever answered a heartbeat refuses votes for a while, so that no other leader is
-  // elected inside the lease. A transfer is let through: the leader of the term before it gave its
-  // lease up, and the leases of older terms ended before that leader was elected.
+  // Leader lease: a member that acknowledged a heartbeat refuses votes for
+  // election_timeout_minimum, so that no other leader is elected within the lease. Votes for a
+  // leadership transfer are allowed: the leader of the previous term gave up its lease, and the
+  // leases of older terms ended before that leader was elected.
   const bool leader_lease_may_hold = HasRecentLeaderContact(now) && !request.leadership_transfer;
   if (leader_lease_may_hold || request.term < hard_state_.term) {
     Send(from, VoteResponse{hard_state_.term, false, false});
--- a/src/consensus/follower.cc
+++ b/src/consensus/follower.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The follower's and learner's side of replication.
+/// Replication on followers and learners.
 #include <algorithm>
 
 #include "src/consensus/raft_impl.h"
@@ -8,7 +8,7 @@
 
 bool RaftConsensus::Impl::AcceptLeader(const Member& from, Term term, Instant now) {
   if (term < hard_state_.term) return false;
-  // Two leaders of one term cannot be; a message that says so is not from a sound member.
+  // A term has at most one leader, so a second one is a faulty sender.
   if (term == hard_state_.term && role_ == Role::kLeader) return false;
   const bool passive = role_ == Role::kFollower || role_ == Role::kLearner;
   if (term > hard_state_.term || !passive) BecomeFollower(term, from, now);
@@ -35,7 +35,7 @@
 
 LogIndex RaftConsensus::Impl::ConflictHint(LogIndex previous_index) const {
   if (previous_index > log_.last_index()) return log_.last_index().Next();
-  // Skip the whole run of the conflicting term in one step (Raft, 5.3).
+  // Skips all entries of the conflicting term in one step (Raft, 5.3).
   return std::max(log_.FirstOfTermRun(previous_index), commit_index_.Next());
 }
 
@@ -63,7 +63,7 @@
     return;
   }
   response.term = hard_state_.term;
-  // What is committed here equals the leader's log, whether or not it was compacted.
+  // Committed entries equal the leader's, whether or not they are compacted here.
   const bool matches = request.previous_index <= commit_index_ ||
                        log_.TermAt(request.previous_index) == request.previous_term;
   if (!matches) {
--- a/src/consensus/group_bootstrap.cc
+++ b/src/consensus/group_bootstrap.cc
@@ -1,11 +1,12 @@
 /// @file
-/// Creation of a group, and announcements of processes that are in none.
+/// Group bootstrap, and announcements of processes outside the membership.
 ///
-/// A voter is (id, disk incarnation), so the first membership can only be written once every first
-/// voter's incarnation is known. The voter with the lowest id founds the group: when every other
-/// one has told it, and this incarnation of it, that it is new too, it writes the membership as the
-/// first entry of its log and stands for election. A first voter that lost its disk and is started
-/// for founding again finds others that are not new, and never founds a second group.
+/// A voter is identified by id and disk incarnation, so the first membership can be written only
+/// once the incarnation of every initial voter is known. The initial voter with the lowest id
+/// bootstraps the group: once every other one has announced, to its current incarnation, that it is
+/// bootstrapping too, it appends the membership as the first entry of its log and takes part in
+/// elections. An initial voter that lost its disk and is started for bootstrap again receives
+/// announcements of members that are already in a group, and never creates a second group.
 #include <algorithm>
 
 #include "graniteseam/codec/codec.h"
@@ -14,11 +15,13 @@
 namespace graniteseam::consensus {
 namespace {
 
-/// The founding entry's term differs between founders, so that the entries of a founder that lost
-/// its disk half-way are never taken for those of the next one.
+/// Range from which the bootstrap entry's term is derived by the disk incarnation. Different terms
+/// keep the entry of a voter that lost its disk during bootstrap distinct from that of the next
+/// bootstrap.
 constexpr std::uint64_t kBootstrapTermRange = 1'000'000;
 
-/// A member that heard of no leader for so many election timeouts announces itself again.
+/// Number of maximum election timeouts without leader contact after which a member announces itself
+/// again.
 constexpr int kReannounceAfterTimeouts = 4;
 
 }  // namespace
@@ -50,7 +53,7 @@
 }
 
 bool RaftConsensus::Impl::MayHaveBeenRemoved(Instant now) const {
-  // A member that was removed while it was away still holds a membership with itself in it.
+  // A member that was removed while disconnected still holds a membership that contains it.
   return now - last_leader_contact_ >= kReannounceAfterTimeouts * options_.election_timeout_maximum;
 }
 
@@ -61,7 +64,8 @@
   for (Member recipient : recipients) {
     if (recipient.id == self_.id) continue;
     const auto known = announced_.find(recipient.id);
-    // A founder counts only on whoever knows its present disk; all others take any disk.
+    // A bootstrapping receiver counts only announcements addressed to its current incarnation; all
+    // other receivers accept any.
     const bool name_disk = bootstrap_ && known != announced_.end();
     recipient.disk = name_disk ? known->second.member.disk : DiskIncarnation{};
     Send(recipient, Announcement{bootstrap_.has_value()});
@@ -80,7 +84,7 @@
   if (!InNoMembership() || !bootstrap_) return;
   Membership membership;
   for (const Member& voter : bootstrap_->voters) {
-    if (voter.id < self_.id) return;  // The lowest id founds.
+    if (voter.id < self_.id) return;  // Only the lowest id bootstraps.
     if (voter.id == self_.id) {
       membership.voters.push_back(self_);
       continue;
--- a/src/consensus/leader.cc
+++ b/src/consensus/leader.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The leader's side: heartbeat rounds, leader lease, check-quorum, replication and commit.
+/// The leader's part of Raft: heartbeat rounds, leader lease, check-quorum, replication and commit.
 #include <algorithm>
 #include <functional>
 
@@ -8,7 +8,8 @@
 namespace graniteseam::consensus {
 namespace {
 
-/// The highest value that a quorum of voters has reached. @param values one a voter.
+/// Returns the highest value that a quorum of voters has reached.
+/// @param values one value per voter.
 template <class T>
 T ReachedByQuorum(std::vector<T> values, std::size_t quorum) {
   std::sort(values.begin(), values.end(), std::greater<>());
@@ -37,7 +38,7 @@
 void RaftConsensus::Impl::LeaderTick(Instant now) {
   if (transfer_target_ && now >= transfer_deadline_) transfer_target_.reset();
   if (now >= QuorumRoundSentAt() + options_.election_timeout_maximum) {
-    // Check-quorum: a leader that is cut off stops claiming to lead.
+    // Check-quorum: a leader without a responsive quorum steps down.
     BecomeFollower(hard_state_.term, std::nullopt, now);
     return;
   }
@@ -83,7 +84,8 @@
 Instant RaftConsensus::Impl::lease_end() const {
   if (role_ != Role::kLeader) return Instant{};
   const auto sent = round_sent_at_.find(QuorumRound());
-  // Dated from the send: whoever answered promised its silence later than that.
+  // The lease counts from the send of the round: a member that responded began to refuse votes
+  // after it.
   return sent == round_sent_at_.end() ? Instant{} : sent->second + options_.leader_lease;
 }
 
@@ -107,7 +109,8 @@
   }
   const bool waiting =
       progress.in_flight_end.value != 0 && now < progress.in_flight_since + RetransmitTimeout();
-  // One append in flight: what is proposed meanwhile goes into the next one as a batch.
+  // At most one append is in flight per member; entries proposed meanwhile are batched into the
+  // next one.
   if (!waiting && progress.next <= log_.last_index()) SendEntries(peer, progress, now);
 }
 
@@ -125,7 +128,8 @@
 
 void RaftConsensus::Impl::SendEmptyAppend(const Member& peer, PeerProgress& progress) {
   progress.sent_commit_index = commit_index_;
-  // Index 0 matches everywhere, so that a heartbeat never fails for what was compacted here.
+  // Index 0 matches every log, so that a heartbeat never fails when the match index is compacted
+  // here.
   const auto term = log_.TermAt(progress.match);
   const LogIndex previous = term ? progress.match : LogIndex{};
   Send(peer,
@@ -183,7 +187,7 @@
     effects_.role_changed = true;
   }
   if (!IsVoter(self_) && log_.membership_index() <= commit_index_) {
-    // It led until its own removal was committed (dissertation, 4.2.2).
+    // A removed leader leads until its own removal is committed (dissertation, 4.2.2).
     BecomeFollower(hard_state_.term, std::nullopt, now);
     return;
   }
@@ -200,7 +204,7 @@
                 known ? "Send the request to it." : "Try again in a second.");
   }
   if (TransferPending(now)) {
-    return Fail(ErrorKind::kUnavailable, "Leadership is being handed over.",
+    return Fail(ErrorKind::kUnavailable, "A leadership transfer is in progress.",
                 "Try again in a second.");
   }
   return {};
--- a/src/consensus/leadership_transfer.cc
+++ b/src/consensus/leadership_transfer.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Leadership transfer for a planned stop (dissertation, 3.10), made safe for leader leases: the
-/// leader steps down as it asks the next one to stand, and never leads again in that term.
+/// Leadership transfer for a planned stop (dissertation, 3.10). It is safe with leader leases: the
+/// leader steps down as it sends TimeoutNowRequest, and never leads again in that term.
 #include "src/consensus/raft_impl.h"
 
 namespace graniteseam::consensus {
@@ -32,7 +32,7 @@
   if (progress == progress_.end() || progress->second.match < log_.last_index()) return;
   const Member target = *transfer_target_;
   Send(target, TimeoutNowRequest{hard_state_.term});
-  // From here on this member has no lease: the request may arrive at any later moment.
+  // The lease ends here, since the target may receive the request at any later time.
   BecomeFollower(hard_state_.term, std::nullopt, now);
 }
 
--- a/src/consensus/membership_change.cc
+++ b/src/consensus/membership_change.cc
@@ -1,6 +1,6 @@
 /// @file
-/// One-at-a-time membership change (dissertation, chapter 4): any two quorums of neighbouring
-/// memberships overlap, and each change is committed before the next begins.
+/// Single-server membership changes (dissertation, chapter 4): any two quorums of consecutive
+/// memberships overlap, and each change is committed before the next one begins.
 #include <algorithm>
 #include <set>
 
@@ -24,7 +24,7 @@
   return left;
 }
 
-/// How two memberships differ.
+/// The members added and removed between two memberships.
 struct MembershipDifference {
   std::vector<Member> voters_added;
   std::vector<Member> voters_removed;
@@ -73,8 +73,8 @@
 }
 
 Result<void> RaftConsensus::Impl::CheckMembershipChange(const Membership& next, Instant now) const {
-  // Without an entry of this term committed, an older leader's change could still come back
-  // (Ongaro, raft-dev, "bug in single-server membership changes", 2015).
+  // Until an entry of this term is committed, an uncommitted change of an older leader can still
+  // become effective (Ongaro, raft-dev, "bug in single-server membership changes", 2015).
   if (!established_at_ || log_.membership_index() > commit_index_) {
     return Fail(ErrorKind::kFailedPrecondition, "Another membership change is not committed yet.",
                 "Try again once it is committed.");
@@ -108,12 +108,13 @@
 }
 
 Result<void> RaftConsensus::Impl::CheckRemainingQuorum(const Membership& next, Instant now) const {
-  const auto heard = std::count_if(next.voters.begin(), next.voters.end(), [&](const auto& voter) {
-    return voter.IsSameMemberAs(self_) || RespondedRecently(voter, now);
-  });
-  if (static_cast<std::size_t>(heard) > next.voters.size() / 2) return {};
+  const auto responsive =
+      std::count_if(next.voters.begin(), next.voters.end(), [&](const auto& voter) {
+        return voter.IsSameMemberAs(self_) || RespondedRecently(voter, now);
+      });
+  if (static_cast<std::size_t>(responsive) > next.voters.size() / 2) return {};
   return Fail(ErrorKind::kFailedPrecondition,
-              "The change would leave a membership without a quorum of answering voters.",
+              "The change would leave a membership without a quorum of responsive voters.",
               "Bring voters back first, or remove those that do not answer.");
 }
 
@@ -128,14 +129,14 @@
   if (role_ != Role::kLeader) return peers;
   for (const Member& member : OtherMembers()) {
     const PeerProgress& progress = progress_.at(VoteKey(member));
-    const Instant heard = std::max(progress.last_response_at, leader_since_);
-    peers.push_back({member, now - heard, progress.match >= commit_at_round_start_});
+    const Instant last_response = std::max(progress.last_response_at, leader_since_);
+    peers.push_back({member, now - last_response, progress.match >= commit_at_round_start_});
   }
   return peers;
 }
 
-// A new member is probed from `next_to_send` on, which must not be beyond the log's end for long:
-// an empty heartbeat tells nothing about what it lacks.
+// Replication to a new member starts at `next_to_send`, which must not stay beyond the end of the
+// log: an empty heartbeat does not reveal which entries the member lacks.
 void RaftConsensus::Impl::SyncProgressWithMembership(LogIndex next_to_send) {
   PeerProgressMap kept;
   for (const Member& member : OtherMembers()) {
--- a/src/consensus/peer_progress.h
+++ b/src/consensus/peer_progress.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a leader knows of each other member of its group.
+/// Replication progress of each other member, kept by the leader.
 #pragma once
 
 #include <compare>
@@ -10,7 +10,7 @@
 
 namespace graniteseam::consensus {
 
-/// Who a vote or acknowledgement belongs to: a member is its id together with its disk.
+/// Identity of a voter or acknowledging member: its id and disk incarnation.
 struct VoteKey {
   ControlId id;
   DiskIncarnation disk;
@@ -19,23 +19,23 @@
   auto operator<=>(const VoteKey&) const = default;
 };
 
-/// A snapshot on its way to one member; one chunk in flight.
+/// A snapshot transfer in progress to one member; one chunk in flight.
 struct SnapshotTransfer {
   std::shared_ptr<const Snapshot> snapshot;
   std::size_t offset = 0;
-  bool waiting = false;  ///< The chunk at `offset` was sent and not answered yet.
+  bool waiting = false;  ///< The chunk at `offset` was sent and has no response yet.
   Instant sent_at;
 };
 
-/// Replication state of one member, as the leader sees it.
+/// Replication state of one member, kept by the leader.
 struct PeerProgress {
-  LogIndex match;          ///< Highest index known to be durable there.
+  LogIndex match;          ///< Highest index that is durable on the member.
   LogIndex next{1};        ///< The next index to send; always above `match`.
-  LogIndex in_flight_end;  ///< Last index of the append not answered yet; 0 when there is none.
+  LogIndex in_flight_end;  ///< Last index of the append without a response yet; 0 for none.
   Instant in_flight_since;
-  LogIndex sent_commit_index;                 ///< The newest commit index that was sent there.
-  std::int64_t acknowledged_round = 0;        ///< The newest heartbeat round that it answered.
-  Instant last_response_at = Instant::min();  ///< When any answer of this term last came.
+  LogIndex sent_commit_index;                 ///< The highest commit index sent to it.
+  std::int64_t acknowledged_round = 0;        ///< The latest heartbeat round that it acknowledged.
+  Instant last_response_at = Instant::min();  ///< Receipt of its last response in this term.
   std::unique_ptr<SnapshotTransfer> transfer;
 };
 
--- a/src/consensus/raft_consensus.cc
+++ b/src/consensus/raft_consensus.cc
@@ -15,8 +15,8 @@
       hard_state_(std::move(recovered.hard_state)),
       log_(std::move(recovered.snapshot), std::move(recovered.entries)),
       now_(now),
-      // A promise of silence made just before the restart is not on disk: assume that there was
-      // one.
+      // Leader contact is not persisted. A heartbeat may have been acknowledged just before the
+      // restart, so votes are refused for a full election_timeout_minimum after it.
       last_leader_contact_(now) {
   if (log_.last_term() > hard_state_.term) hard_state_ = {log_.last_term(), std::nullopt};
   commit_index_ = log_.snapshot_index();
@@ -76,7 +76,7 @@
           OnTimeoutNow(payload, now_);
         } else if constexpr (!std::is_same_v<Payload, Announcement> &&
                              !std::is_same_v<Payload, HeartbeatRelay>) {
-          // A response of a lost disk or of a stranger counts for nothing, not even its term.
+          // A response from a non-member or a lost disk is ignored, including its term.
           if (!IsMember(from)) return;
           if constexpr (std::is_same_v<Payload, VoteResponse>) {
             OnVoteResponse(from, payload, now_);
@@ -150,7 +150,7 @@
                                [&](const LogEntry& entry) { return entry.index >= index; }),
                 entries.end());
   effects_.persist.truncate_from = index;
-  // What is on its way to the disk counts only up to the cut.
+  // Pending writes count as durable only up to the truncation point.
   const LogIndex kept{index.value - 1};
   durable_index_ = std::min(durable_index_, kept);
   for (auto& pending : pending_) pending.durable_index = std::min(pending.durable_index, kept);
@@ -161,7 +161,8 @@
   if (pending_.empty() || pending_.back().sequence != next) {
     pending_.push_back({next, hard_state_.term, {}, false, {}});
   }
-  // A step that goes on to a new term, as a first election does, tells nothing of the old one.
+  // A step may enter a new term, as the first election does; its acknowledgements belong to that
+  // term.
   pending_.back().term = hard_state_.term;
   return pending_.back();
 }
@@ -202,7 +203,7 @@
   return others;
 }
 
-// --- The public class hands every call to Impl. ---
+// --- The public class delegates every call to Impl. ---
 
 RaftConsensus::RaftConsensus(ConsensusOptions options, RecoveredState recovered, std::uint64_t seed,
                              Instant now)
--- a/src/consensus/raft_impl.h
+++ b/src/consensus/raft_impl.h
@@ -17,6 +17,8 @@
 
 namespace graniteseam::consensus {
 
+/// Implementation of RaftConsensus. Steps collect their outputs in effects_, which TakeEffects()
+/// returns. Not thread safe.
 class RaftConsensus::Impl {
  public:
   Impl(ConsensusOptions options, RecoveredState recovered, std::uint64_t seed, Instant now);
@@ -32,7 +34,8 @@
   std::vector<Member> Announced() const;
   std::vector<PeerStatus> Peers(Instant now) const;
 
-  /// Hands out the effects gathered since the last call and numbers what must be persisted.
+  /// Returns the effects collected since the last call and assigns a sequence number to their
+  /// persist request.
   Effects TakeEffects();
 
   Role role() const { return role_; }
@@ -45,19 +48,19 @@
   const Member& self() const { return self_; }
 
  private:
-  /// Something that becomes true once a PersistRequest is durable.
+  /// Consequences of one PersistRequest, which take effect once it is durable.
   struct PendingPersist {
     std::uint64_t sequence = 0;
-    Term term;  ///< The term in which it was asked; acknowledgements of older terms are dropped.
-    LogIndex durable_index;  ///< The log is durable up to here.
-    bool own_vote = false;   ///< This member's vote for itself.
+    Term term;               ///< Term of the request; acknowledgements of older terms are dropped.
+    LogIndex durable_index;  ///< Last log index that the request makes durable.
+    bool own_vote = false;   ///< The request holds this member's vote for itself.
     std::vector<PeerMessage> acknowledgements;
   };
+  /// The last announcement received from a process.
   struct AnnouncedMember {
     Member member;
     bool founding = false;
-    bool addressed_to_this_disk =
-        false;  ///< It addressed the announcement to our present incarnation.
+    bool addressed_to_this_disk = false;  ///< Addressed to this member's current incarnation.
     Instant at;
   };
 
@@ -97,11 +100,12 @@
   void SendNext(const Member& peer, PeerProgress& progress, Instant now);
   void SendEntries(const Member& peer, PeerProgress& progress, Instant now);
   void SendEmptyAppend(const Member& peer, PeerProgress& progress);
-  /// Tells the commit index to the members that were not sent it yet.
+  /// Sends the commit index to members that were sent an older one.
   void SendCommitIndex();
   void OnAppendResponse(const Member& from, const AppendResponse& response, Instant now);
-  /// Takes what every answer to a leader says: its term and the round it answers.
-  /// @return the sender's progress; null when the answer is not for this leader's term.
+  /// Processes the term and round that every response to a leader carries; steps down on a higher
+  /// term.
+  /// @return the sender's progress; null when the response is not for this leader's term.
   PeerProgress* RecordResponse(const Member& from, Term term, std::int64_t round, Instant now);
   std::int64_t QuorumRound() const;
   Instant QuorumRoundSentAt() const;
@@ -153,12 +157,13 @@
   HardState hard_state_;
   RaftLog log_;
   LogIndex commit_index_;
-  LogIndex durable_index_;  ///< Own entries up to here are on disk.
+  LogIndex durable_index_;  ///< Last index of the log that is durable on this member.
 
   Role role_ = Role::kFollower;
   std::optional<Member> leader_;
-  Instant now_;  ///< The newest instant seen.
-  /// Votes are refused for election_timeout_minimum from here on: a leader may count on it.
+  Instant now_;  ///< The latest instant passed in.
+  /// Votes are refused for election_timeout_minimum after this instant; the leader lease relies on
+  /// it.
   Instant last_leader_contact_;
   Instant election_deadline_;
   std::set<VoteKey> votes_;
@@ -166,7 +171,8 @@
   // Leader only.
   PeerProgressMap progress_;
   std::int64_t round_ = 0;
-  std::map<std::int64_t, Instant> round_sent_at_;  ///< From the newest answered round on.
+  /// Send times of recent rounds; older than two election_timeout_maximum are dropped.
+  std::map<std::int64_t, Instant> round_sent_at_;
   Instant next_heartbeat_;
   Instant commit_notification_due_ = Instant::max();
   Instant leader_since_;
@@ -179,8 +185,8 @@
   // Follower only: the snapshot being received.
   std::optional<Snapshot> incoming_snapshot_;
 
-  // While in no membership.
-  std::optional<Membership> bootstrap_;
+  // Bootstrap and announcements.
+  std::optional<Membership> bootstrap_;  ///< Set until the bootstrap entry is appended.
   std::vector<Member> seeds_;
   std::map<ControlId, AnnouncedMember> announced_;
   Instant next_announcement_;
--- a/src/consensus/raft_log.cc
+++ b/src/consensus/raft_log.cc
@@ -48,7 +48,7 @@
 
 void RaftLog::Append(LogEntry entry) {
   if (entry.kind == EntryKind::kMembership) {
-    // Payloads are checked where they enter: when they are proposed, received or recovered.
+    // Payloads are validated earlier: when they are proposed, received or recovered.
     const auto outcome = Attempt([&] { return DecodeMembership(entry.payload); });
     if (const auto* membership = std::get_if<Membership>(&outcome)) {
       memberships_.push_back({entry.index, *membership});
--- a/src/consensus/raft_log.h
+++ b/src/consensus/raft_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// The replicated log in memory: entries, the newest snapshot, and the memberships in force.
+/// The replicated log in memory: entries, the latest snapshot, and the effective memberships.
 #pragma once
 
 #include <deque>
@@ -16,13 +16,13 @@
 /// Decodes the payload of a kMembership entry.
 Result<Membership> DecodeMembership(std::string_view payload);
 
-/// Entries are contiguous from first_index() to last_index(). What was compacted is known to be
+/// In-memory log. Entries are contiguous from first_index() to last_index(). Compacted entries are
 /// committed. Not thread safe.
 class RaftLog {
  public:
   RaftLog() = default;
 
-  /// Takes what recovery found; `entries` follow the snapshot.
+  /// Builds the log from recovered state; `entries` follow the snapshot.
   RaftLog(std::optional<Snapshot> snapshot, std::vector<LogEntry> entries);
 
   LogIndex first_index() const { return base_index_.Next(); }
@@ -31,39 +31,41 @@
   LogIndex snapshot_index() const { return snapshot_ ? snapshot_->last_index : LogIndex{}; }
   const std::shared_ptr<const Snapshot>& snapshot() const { return snapshot_; }
 
-  /// The term at an index; nullopt when it was compacted or is beyond the end. Index 0 has term 0.
+  /// The term at an index; nullopt when it is compacted or beyond the end. Index 0 has term 0.
   std::optional<Term> TermAt(LogIndex index) const;
 
   const LogEntry& At(LogIndex index) const;
 
-  /// The first index of the run of entries that have the same term as the one at `index`.
+  /// The first index of the contiguous entries with the same term as the one at `index`.
   LogIndex FirstOfTermRun(LogIndex index) const;
 
-  /// Copies entries from `from` on, at least one when there is one, within `bytes_maximum`.
+  /// Copies entries from `from` on, up to `bytes_maximum` but at least one when there is one.
   std::vector<LogEntry> From(LogIndex from, std::size_t bytes_maximum) const;
 
   /// Copies the entries of a closed range.
   std::vector<LogEntry> Range(LogIndex first, LogIndex last) const;
 
-  /// Appends the next entry. A kMembership entry is in force from now on (dissertation, 4.1).
+  /// Appends the next entry. A kMembership entry takes effect at once, before it is committed
+  /// (dissertation, 4.1).
   void Append(LogEntry entry);
 
-  /// Drops an uncommitted suffix; an earlier membership comes back into force.
+  /// Removes an uncommitted suffix; an earlier membership takes effect again.
   void TruncateFrom(LogIndex index);
 
-  /// Takes a snapshot of this member's own state and drops entries, but keeps the newest `kept`
-  /// before it for followers that are a little behind.
+  /// Stores a snapshot of this member's own state and drops the entries before it, except the last
+  /// `kept` ones for followers that are slightly behind.
   void Compact(Snapshot snapshot, std::size_t kept);
 
-  /// Replaces the log by a snapshot from the leader. Entries after it survive when the log already
-  /// holds its last entry. @return whether they did.
+  /// Replaces the log by a snapshot from the leader. Entries after the snapshot are retained when
+  /// the log holds the snapshot's last entry.
+  /// @return whether they are retained.
   bool Install(Snapshot snapshot);
 
-  /// The newest membership of the log, committed or not; empty before the first one.
+  /// The latest membership of the log, committed or not; empty before the first one.
   const Membership& membership() const;
-  /// The index at which the newest membership stands.
+  /// The index of the latest membership entry.
   LogIndex membership_index() const;
-  /// The membership in force at an index that is not compacted.
+  /// The effective membership at an index that is not compacted.
   const Membership& MembershipAt(LogIndex index) const;
 
  private:
--- a/src/consensus/snapshot_transfer.cc
+++ b/src/consensus/snapshot_transfer.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Compaction, and snapshots sent in chunks to members that are further behind than the log.
+/// Log compaction, and transfer of snapshots in chunks to members that need compacted entries.
 #include <algorithm>
 
 #include "src/consensus/raft_impl.h"
@@ -50,7 +50,7 @@
     return;
   }
   const auto wanted = static_cast<std::size_t>(std::max<std::int64_t>(response.next_offset, 0));
-  // The answer to a repeated chunk: the next one is on its way already.
+  // A response to a retransmitted chunk; the next chunk is in flight already.
   if (wanted == transfer.offset || wanted > transfer.snapshot->data.size()) return;
   transfer.offset = wanted;
   transfer.waiting = false;
@@ -67,7 +67,7 @@
   }
   response.term = hard_state_.term;
   if (request.last_index <= commit_index_) {
-    // Held already; told only once it is on disk, since the leader counts on it.
+    // Already committed here. Acknowledged only once durable, since the leader counts it as such.
     response.installed = request.last_index <= durable_index_;
     if (response.installed) Send(from, response);
     return;
@@ -96,7 +96,7 @@
   effects_.persist.snapshot = snapshot;
   effects_.restored = snapshot;
   if (!log_.Install(std::move(snapshot))) {
-    // The whole old log goes, on disk too; nothing counts as durable until that is done.
+    // The whole previous log is removed, on disk as well; nothing counts as durable until then.
     effects_.persist.truncate_from = last.Next();
     durable_index_ = {};
     for (auto& pending : pending_) pending.durable_index = {};
--- a/src/operation/operation_journal.cc
+++ b/src/operation/operation_journal.cc
@@ -65,8 +65,8 @@
     case OperationState::kClaimed:
       return same_claim ? ClaimVerdict::kClaimed : ClaimVerdict::kInProgress;
     case OperationState::kNotRun:
-      // A late copy of the claim that ended: its holder has stopped listening, so granting it
-      // would leave the operation claimed by nobody.
+      // A delayed duplicate of the claim that ended. Its holder no longer waits for a result, so
+      // granting it would leave the operation claimed without a holder.
       if (same_claim) return ClaimVerdict::kInProgress;
       if (too_old) return ClaimVerdict::kExpired;
       entry.claim = request.claim;
@@ -84,8 +84,8 @@
                                         const ClaimRequest& request, std::int64_t retention_ms,
                                         std::int64_t wall_ms) {
   const std::int64_t time = TimeOf(key);
-  // It may be among the forgotten, so that "not run" can't be said of it. This check comes before
-  // those on wall time: it alone holds when the wall clock was set back.
+  // The id may belong to an expired entry, so "not run" is not proven. This check precedes those on
+  // wall time, because it alone still holds when the wall clock was set back.
   if (time <= journal.forgotten_until_ms) return ClaimVerdict::kUnknownOutcome;
   if (time < wall_ms - retention_ms) return ClaimVerdict::kExpired;
   if (time > wall_ms + limits_.future_maximum_ms) return ClaimVerdict::kExpired;
@@ -104,9 +104,9 @@
   const auto found = journal.entries.find(*key);
   if (found == journal.entries.end()) return;
   Entry& entry = found->second;
-  // The states are in the order of what is known: claimed, not run, then unknown, then answered. A
-  // completion only ever goes up, so that crossed and resent ones end alike in any order, and "not
-  // run" never replaces a word that it may have run.
+  // States are ranked: claimed, not run, unknown outcome, answered. A completion only raises the
+  // rank, so that reordered and resent completions give the same final state, and "not run" never
+  // replaces a report that the operation may have run.
   if (entry.claim != completion.claim) return;
   const OperationState after = StateAfter(completion.kind);
   if (Rank(after) <= Rank(entry.state)) return;
@@ -133,8 +133,8 @@
   const auto found = services_.find(service);
   if (found == services_.end()) return 0;
   ServiceJournal& journal = found->second;
-  std::size_t forgotten = 0;
-  while (forgotten < entries_maximum && !journal.entries.empty()) {
+  std::size_t removed = 0;
+  while (removed < entries_maximum && !journal.entries.empty()) {
     const auto oldest = journal.entries.begin();
     const std::int64_t time = TimeOf(oldest->first);
     if (time >= wall_ms - retention_ms) break;
@@ -142,9 +142,9 @@
     journal.forgotten_until_ms = std::max(journal.forgotten_until_ms, time);
     journal.entries.erase(oldest);
     --entry_count_;
-    ++forgotten;
+    ++removed;
   }
-  return forgotten;
+  return removed;
 }
 
 void OperationJournal::KeepAnswer(ServiceJournal& journal, const OperationKey& key, Entry& entry,
@@ -165,7 +165,8 @@
   entry.answer.reset();
 }
 
-/// Drops the oldest answers of all services. That the operations ran stays known.
+/// Evicts the oldest responses across all services. The entries still record that the operations
+/// ran.
 void OperationJournal::EvictAnswers() {
   while (answer_bytes_ > limits_.answer_bytes_maximum) {
     ServiceJournal* oldest = nullptr;
@@ -206,7 +207,7 @@
     journal.forgotten_until_ms = service.forgotten_until_ms;
     for (const JournalEntry& saved : service.entries) {
       const auto key = ParseKey(saved.operation);
-      if (!key.has_value()) continue;  // Snapshot() writes none such.
+      if (!key.has_value()) continue;  // Snapshot() writes only valid ids.
       Entry& entry = journal.entries[*key];
       entry = {saved.group, saved.request_digest, saved.claim, saved.state, std::nullopt};
       ++entry_count_;
--- a/src/storage/consensus_storage.cc
+++ b/src/storage/consensus_storage.cc
@@ -3,7 +3,7 @@
 namespace graniteseam::storage {
 namespace {
 
-/// Marks a folder that was made for the founding of a group.
+/// File that marks a folder as initialised for the bootstrap of a group.
 constexpr const char* kBootstrapMarkerName = "founding";
 
 }  // namespace
@@ -59,7 +59,8 @@
     previous = stored->snapshot.last_index;
     const LogReplacement replacement{previous, stored->snapshot.last_term};
     if (stored->replaces_log && content.replaced_by != replacement) {
-      // A crash came between the snapshot and the frame that voids the log before it.
+      // A crash happened after the snapshot was saved and before the log frame that replaces the
+      // older log: writes that frame now.
       LogBatch batch;
       batch.replaced_by = replacement;
       BOOST_LEAF_CHECK(log_->Append(batch));
@@ -72,8 +73,8 @@
       return Fail(ErrorKind::kStorageCorrupt,
                   "The log in " + options_.folder + " lacks entry " +
                       std::to_string(previous.Next().value) + ".",
-                  "Replace this control process's disk as "
-                  "docs/operations/replacing-a-control-disk.md tells.");
+                  "Replace this control process's disk as described in "
+                  "docs/operations/replacing-a-control-disk.md.");
     }
     previous = index;
     recovered_.entries.push_back(std::move(entry));
@@ -84,8 +85,8 @@
 Result<void> ConsensusStorage::Persist(const consensus::PersistRequest& request) {
   LogBatch batch;
   if (request.snapshot) {
-    // A truncation from right after the snapshot, or from before it when requests were joined,
-    // leaves nothing of the log on disk: it may be another history.
+    // A truncation directly after the snapshot, or before it when requests were merged, replaces
+    // the whole log on disk, because its entries may conflict with the leader's.
     const bool replaces_log =
         request.truncate_from && *request.truncate_from <= request.snapshot->last_index.Next();
     BOOST_LEAF_CHECK(snapshots_.Save({*request.snapshot, replaces_log}));
--- a/src/storage/consensus_storage.h
+++ b/src/storage/consensus_storage.h
@@ -1,5 +1,5 @@
 /// @file
-/// Durable state of one consensus member: data folder, log and snapshot behind one class.
+/// Durable state of one consensus member: its data folder, log and snapshot.
 #pragma once
 
 #include <memory>
@@ -15,31 +15,34 @@
 
 namespace graniteseam::storage {
 
+/// Settings of ConsensusStorage.
 struct StorageOptions {
-  std::string folder;
+  std::string folder;  ///< Path of the data folder.
   ControlId id;
   std::string address;  ///< "ip:port" of this process's internal port.
   ZoneName zone;
-  /// Set only at a group's first start: the first voters, disks 0 where unknown.
+  /// The initial voters; set only at a group's first start. Unknown disk incarnations are 0.
   std::optional<consensus::Membership> bootstrap;
-  /// The first voters as every start names them. A folder that was made for founding goes on
-  /// founding with them after a restart, until the group exists.
+  /// The initial voters as configured at every start. A folder that was initialised for bootstrap
+  /// continues the bootstrap with them after a restart, until the group exists.
   std::optional<consensus::Membership> configured_voters;
-  /// Where to announce this process while it is in no membership; disks 0.
+  /// Members to which this process announces itself while outside the membership; disks are 0.
   std::vector<consensus::Member> seeds;
-  std::size_t segment_bytes = 16UL << 20U;
-  /// With less free space than this, SpaceIsLow() asks the caller to refuse new work in time.
+  std::size_t segment_bytes = 16UL << 20U;  ///< Size at which a new log segment is started.
+  /// SpaceIsLow() returns true below this much free space, so that the caller refuses new work
+  /// before the disk is full.
   std::uint64_t low_space_bytes = 64UL << 20U;
-  /// Given by the simulator; drawn from the operating system otherwise.
+  /// Incarnation for a new folder. Set by the simulator; otherwise generated from the operating
+  /// system's random source.
   std::optional<DiskIncarnation> fresh_incarnation;
 };
 
-/// Not thread safe. Lifecycle: Open(), TakeRecovered() once, then Persist() for each request in the
-/// order in which the consensus returned them.
+/// Storage of one consensus member. Not thread safe. Lifecycle: Open(), TakeRecovered() once, then
+/// Persist() for each request in the order in which the consensus returned them.
 ///
-/// When Persist() returns kStorageFull, nothing was forgotten: give the same request again later
-/// and do not step the consensus meanwhile, so that no promise is made that is not on disk. What
-/// was applied before may still be read. After any other error the process must stop.
+/// When Persist() returns kStorageFull, no durable state is lost: the caller repeats the same
+/// request later and does not step the consensus meanwhile, so that nothing is acknowledged that is
+/// not on disk. State applied before stays readable. After any other error the process must stop.
 class ConsensusStorage {
  public:
   /// @param files must outlive the storage.
@@ -47,17 +50,18 @@
   static Result<std::unique_ptr<ConsensusStorage>> Open(FileSystem& files,
                                                         const StorageOptions& options);
 
-  /// What the disk holds; moved out once.
+  /// Moves out the recovered state; call it once.
   consensus::RecoveredState TakeRecovered() { return std::move(recovered_); }
 
   /// Makes a request durable in the order snapshot, truncation, entries, hard state. Repeating a
   /// request that failed with kStorageFull is harmless.
   Result<void> Persist(const consensus::PersistRequest& request);
 
-  /// Whether new work should be refused while there is still space for the group's own entries.
+  /// Whether free space is below StorageOptions::low_space_bytes or cannot be determined. New work
+  /// is then refused while space remains for the group's own entries.
   bool SpaceIsLow();
 
-  /// Bytes of a torn tail that Open() cut; for the log.
+  /// Bytes of the torn tail that Open() truncated, for logging.
   std::uint64_t torn_bytes() const { return torn_bytes_; }
 
  private:
@@ -65,7 +69,8 @@
                    std::unique_ptr<LogStore> log);
 
   Result<void> Recover();
-  /// Remembers that this folder was made for founding, or finds that it was.
+  /// Writes the bootstrap marker into a new folder when StorageOptions::bootstrap is set.
+  /// @return whether the folder holds the marker.
   Result<bool> EnsureBootstrapMarker();
   Result<void> RecoverEntries(LogContent content, const std::optional<StoredSnapshot>& stored);
 
--- a/src/storage/data_folder.cc
+++ b/src/storage/data_folder.cc
@@ -11,7 +11,8 @@
 constexpr const char* kIdentityName = "identity";
 constexpr const char* kLockName = "lock";
 
-/// Only additions at the end are allowed after `format`; a reader looks at `format` first.
+/// Identity file of a data folder. New fields are added only at the end; a reader checks `format`
+/// first.
 struct Identity {
   std::int32_t format = 0;
   ControlId id;
@@ -24,14 +25,14 @@
   const Frame frame = ReadFrame(content);
   if (frame.state != FrameState::kValid) {
     return Fail(ErrorKind::kStorageCorrupt, path + " does not pass its checksum.",
-                "Replace this control process's disk as "
-                "docs/operations/replacing-a-control-disk.md tells.");
+                "Replace this control process's disk as described in "
+                "docs/operations/replacing-a-control-disk.md.");
   }
-  // The frame's sequence number holds the format, so that it is known before anything is decoded.
+  // The frame's sequence number holds the format, so that it is checked before decoding.
   if (frame.sequence != static_cast<std::uint64_t>(kDataFolderFormat)) {
     return Fail(ErrorKind::kIncompatibleFormat,
-                path + " has format " + std::to_string(frame.sequence) + "; this program knows " +
-                    std::to_string(kDataFolderFormat) + ".",
+                path + " has format " + std::to_string(frame.sequence) +
+                    "; this program supports " + std::to_string(kDataFolderFormat) + ".",
                 "Start the version of the program that wrote the folder.");
   }
   return codec::Decode<Identity>(frame.payload);
@@ -44,8 +45,8 @@
     std::string message = "The data folder ";
     message.append(path).append(" holds ").append(name).append(" but no identity.");
     return Fail(ErrorKind::kStorageCorrupt, message,
-                "Name an empty folder, or replace this control process's disk as "
-                "docs/operations/replacing-a-control-disk.md tells.");
+                "Name an empty folder, or replace this control process's disk as described in "
+                "docs/operations/replacing-a-control-disk.md.");
   }
   return {};
 }
--- a/src/storage/data_folder.h
+++ b/src/storage/data_folder.h
@@ -1,6 +1,6 @@
 /// @file
-/// A control process's data folder: lock, format version, and the disk incarnation that is drawn
-/// when the folder is first used.
+/// A control process's data folder: lock, format version, and the disk incarnation generated when
+/// the folder is initialised.
 #pragma once
 
 #include <memory>
@@ -14,18 +14,19 @@
 /// The version of the folder's format that this program reads and writes.
 inline constexpr int kDataFolderFormat = 1;
 
-/// Held open while the process lives; the lock ends with it. Not thread safe.
+/// An open, locked data folder. The lock is released on destruction. Not thread safe.
 class DataFolder {
  public:
   /// Opens a folder, or initialises an empty one.
-  /// @param fresh_incarnation used when the folder is initialised; must never repeat.
+  /// @param fresh_incarnation stored when the folder is initialised; must be unique.
   /// @return kFailedPrecondition when another process holds the lock; kIncompatibleFormat for an
   ///     unknown version; kInvalidSettings when the folder belongs to another id; kStorageCorrupt
-  ///     when it holds data but not whose.
+  ///     when it holds data without an identity, or the identity fails its checksum.
   static Result<DataFolder> Open(FileSystem& files, const std::string& path, ControlId id,
                                  DiskIncarnation fresh_incarnation);
 
   DiskIncarnation incarnation() const { return incarnation_; }
+  /// Whether Open() initialised the folder.
   bool initialised_now() const { return initialised_now_; }
 
  private:
@@ -36,7 +37,7 @@
   bool initialised_now_ = false;
 };
 
-/// Draws an incarnation from the operating system's random source; never 0.
+/// Generates an incarnation from the operating system's random source; never 0.
 DiskIncarnation GenerateIncarnation();
 
 }  // namespace graniteseam::storage
--- a/src/storage/file_system.cc
+++ b/src/storage/file_system.cc
@@ -19,7 +19,7 @@
   const std::string temporary = path + std::string(kTemporarySuffix);
   const auto written = Attempt([&] { return WriteAndSync(files, temporary, content); });
   if (const Error* error = ErrorOf(written)) {
-    // A full disk must not stay full of what is of no use.
+    // Frees the space of the incomplete file, which matters when the disk is full.
     static_cast<void>(Attempt([&] { return files.Remove(temporary); }));
     return Fail(*error);
   }
--- a/src/storage/frame.cc
+++ b/src/storage/frame.cc
@@ -47,16 +47,16 @@
 
 Frame ReadFrame(std::string_view bytes) {
   if (bytes.size() < kFrameHeaderBytes) return {};
-  const bool header_sound =
+  const bool header_valid =
       bytes.starts_with(kMagic) &&
       NumberAt(bytes, kHeaderChecksumOffset, 4) == Checksum(bytes.substr(0, kHeaderChecksumOffset));
-  if (!header_sound) return {FrameState::kCorrupt, 0, {}};
+  if (!header_valid) return {FrameState::kCorrupt, 0, {}};
   const std::uint64_t sequence = NumberAt(bytes, kSequenceOffset, 8);
   const std::uint64_t length = NumberAt(bytes, kLengthOffset, 4);
   if (bytes.size() - kFrameHeaderBytes < length) return {FrameState::kTruncated, sequence, {}};
   const std::string_view payload = bytes.substr(kFrameHeaderBytes, length);
-  const bool sound = Checksum(payload) == NumberAt(bytes, kPayloadChecksumOffset, 4);
-  return {sound ? FrameState::kValid : FrameState::kCorrupt, sequence, payload};
+  const bool valid = Checksum(payload) == NumberAt(bytes, kPayloadChecksumOffset, 4);
+  return {valid ? FrameState::kValid : FrameState::kCorrupt, sequence, payload};
 }
 
 bool HasLaterFrame(std::string_view bytes, std::uint64_t sequence) {
--- a/src/storage/log_recovery.cc
+++ b/src/storage/log_recovery.cc
@@ -1,5 +1,5 @@
 /// @file
-/// What LogStore does at its opening: replay, torn tails, corruption.
+/// Recovery of a LogStore when it is opened: replay, torn tails, detection of corruption.
 #include <algorithm>
 #include <charconv>
 
@@ -15,9 +15,9 @@
 constexpr std::size_t kSequenceDigits = 20;
 constexpr std::size_t kSectorBytes = 512;
 
-/// Whether a sector from `begin` on, where a frame begins, reads as zeros: what is left where a
-/// crash came before a sector was written. Bit rot does not look like that. A few zeros at the end
-/// say nothing, since payloads may end so.
+/// Whether a sector at or after `begin`, where a frame begins, reads as zeros. A crash leaves this
+/// where a sector was not written; bit rot does not. A few zeros at the end are no evidence, since
+/// payloads may end with zeros.
 bool HasZeroSector(std::string_view content, std::size_t begin) {
   for (bool first = true; begin < content.size(); first = false) {
     const std::size_t end = std::min(content.size(), (begin / kSectorBytes + 1) * kSectorBytes);
@@ -48,8 +48,8 @@
 
 boost::leaf::error_id LogStore::Corrupt(const std::string& what) const {
   return Fail(ErrorKind::kStorageCorrupt, what,
-              "Do not repair the file. Replace this control process's disk as "
-              "docs/operations/replacing-a-control-disk.md tells; the other voters hold the data.");
+              "Do not repair the file. Replace this control process's disk as described in "
+              "docs/operations/replacing-a-control-disk.md; the other voters hold the data.");
 }
 
 Result<void> LogStore::Recover() {
@@ -65,8 +65,8 @@
   hard_state_ = content_.hard_state;
   if (segments_.empty()) return {};
   BOOST_LEAF_ASSIGN(newest_, files_.OpenForAppend(PathOf(segments_.back())));
-  // What the last process wrote may have been read from the page cache: make it durable before
-  // anything is built on it.
+  // Data of the previous process may have been read from the page cache only. Syncs it before any
+  // state is derived from it.
   return newest_->Sync();
 }
 
@@ -81,8 +81,8 @@
   BOOST_LEAF_AUTO(content, files_.Read(path));
   while (segment.size < content.size()) {
     const Frame frame = ReadFrame(std::string_view(content).substr(segment.size));
-    const bool whole = frame.state == FrameState::kValid && frame.sequence == next_sequence_;
-    if (!whole) {
+    const bool valid = frame.state == FrameState::kValid && frame.sequence == next_sequence_;
+    if (!valid) {
       if (!newest) {
         return Corrupt(path + " is damaged at byte " + std::to_string(segment.size) + ".");
       }
@@ -107,9 +107,9 @@
 Result<void> LogStore::CutTornTail(Segment& segment, std::string_view content) {
   const std::string_view tail = content.substr(segment.size);
   const Frame frame = ReadFrame(tail);
-  // A frame is written only after the one before it is synced. So a tear is at the very end, and is
-  // either missing bytes or sectors that were never written; all else is damage to synced data, and
-  // cutting it would forget what was promised.
+  // A frame is written only after the previous one is synced. A torn write is therefore at the very
+  // end, and consists of missing bytes or of sectors that were never written. Anything else is
+  // damage to synced data; truncating it would discard acknowledged entries and votes.
   const bool torn = frame.state == FrameState::kTruncated || HasZeroSector(content, segment.size);
   if (!torn || HasLaterFrame(tail, next_sequence_)) {
     return Corrupt(PathOf(segment) + " is damaged at byte " + std::to_string(segment.size) + ".");
--- a/src/storage/log_store.cc
+++ b/src/storage/log_store.cc
@@ -34,12 +34,13 @@
 
 Result<void> LogStore::Append(const LogBatch& batch) {
   if (failed_) {
-    return Fail(ErrorKind::kStorageIo, "The log in " + folder_ + " failed before.",
-                "Stop the process; start it again only when the disk is sound.");
+    return Fail(ErrorKind::kStorageIo,
+                "The log in " + folder_ + " failed earlier and is closed for writes.",
+                "Stop the process; restart it only once the disk is healthy.");
   }
   if (!newest_ || segments_.back().size >= segment_bytes_) BOOST_LEAF_CHECK(StartSegment());
   if (segments_.back().size == 0) {
-    // Older segments may be removed: the newest one always tells the hard state.
+    // Older segments may be removed, so each segment begins with the hard state.
     LogBatch first;
     first.hard_state = hard_state_;
     BOOST_LEAF_CHECK(WriteFrame(first));
@@ -54,7 +55,7 @@
   const std::string frame = EncodeFrame(next_sequence_, codec::Encode(batch));
   auto appended = Attempt([&] { return newest_->Append(frame); });
   if (const Error* error = ErrorOf(appended)) {
-    // Cut what was written of it, so that the next frame follows a whole one.
+    // Truncates a partial frame, so that the next frame follows a complete one.
     const auto cut = Attempt([&] { return newest_->Truncate(segment.size); });
     failed_ = ErrorOf(cut) != nullptr || error->kind != ErrorKind::kStorageFull;
     return Fail(*error);
@@ -77,7 +78,7 @@
   const std::string path = PathOf(segment);
   auto opened = Attempt([&]() -> Result<std::unique_ptr<AppendFile>> {
     BOOST_LEAF_AUTO(file, files_.OpenForAppend(path));
-    BOOST_LEAF_CHECK(file->Truncate(0));  // What a failed start left.
+    BOOST_LEAF_CHECK(file->Truncate(0));  // Removes leftovers of a failed attempt.
     BOOST_LEAF_CHECK(files_.SyncFolder(folder_));
     return file;
   });
@@ -93,7 +94,7 @@
 Result<void> LogStore::DropThrough(LogIndex index) {
   while (segments_.size() > 1 && segments_.front().highest <= index) {
     BOOST_LEAF_CHECK(files_.Remove(PathOf(segments_.front())));
-    // One by one, oldest first: a crash must not leave a gap.
+    // Syncs after each removal, oldest first, so that a crash leaves no gap in the segments.
     BOOST_LEAF_CHECK(files_.SyncFolder(folder_));
     segments_.pop_front();
   }
--- a/src/storage/log_store.h
+++ b/src/storage/log_store.h
@@ -1,9 +1,9 @@
 /// @file
 /// The replicated log and the hard state on disk: checksummed frames in segment files.
 ///
-/// Each Append() is one frame and one sync, so a crash can tear only the last frame. A segment is
-/// named by the sequence number of its first frame; the first frame of each repeats the hard state,
-/// so that whole old segments can be removed.
+/// Each Append() writes one frame and syncs once, so a crash can tear only the last frame. A
+/// segment is named by the sequence number of its first frame. The first frame of each segment
+/// repeats the hard state, so that whole old segments can be removed.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -19,7 +19,7 @@
 
 namespace graniteseam::storage {
 
-/// Tells that a snapshot replaced the whole log before this frame.
+/// Records that a snapshot replaced the whole log before this frame.
 struct LogReplacement {
   LogIndex last_index;
   Term last_term;
@@ -28,7 +28,7 @@
 };
 BOOST_DESCRIBE_STRUCT(LogReplacement, (), (last_index, last_term))
 
-/// One frame's content; takes effect in the order of the members.
+/// Content of one frame; applied in the order of the fields.
 struct LogBatch {
   std::optional<LogReplacement> replaced_by;
   std::optional<LogIndex> truncate_from;
@@ -37,33 +37,33 @@
 };
 BOOST_DESCRIBE_STRUCT(LogBatch, (), (replaced_by, truncate_from, entries, hard_state))
 
-/// What the frames add up to.
+/// The state that results from applying all frames.
 struct LogContent {
   consensus::HardState hard_state;
   std::map<LogIndex, consensus::LogEntry> entries;
-  std::optional<LogReplacement> replaced_by;  ///< The newest one.
-  std::uint64_t torn_bytes = 0;               ///< Cut from the end.
+  std::optional<LogReplacement> replaced_by;  ///< The latest one.
+  std::uint64_t torn_bytes = 0;               ///< Truncated from the end.
 
   void Apply(const LogBatch& batch);
 };
 
-/// Not thread safe. After kStorageIo the store refuses everything: nothing is known about what the
-/// disk holds, so the process must stop. After kStorageFull nothing of the batch was kept, and the
-/// same batch may be given again.
+/// Append-only log in segment files. Not thread safe. After kStorageIo the store refuses all
+/// appends: the content on disk is undefined, so the process must stop. After kStorageFull nothing
+/// of the batch is retained, and the same batch may be appended again.
 class LogStore {
  public:
-  /// Reads all segments of a folder; cuts a torn tail.
+  /// Reads all segments of a folder and truncates a torn tail.
   /// @return kStorageCorrupt when a checksum fails elsewhere or a segment is missing.
   static Result<std::unique_ptr<LogStore>> Open(FileSystem& files, std::string folder,
                                                 std::size_t segment_bytes);
 
-  /// What Open() found; moved out once.
+  /// Moves out the content read by Open(); call it once.
   LogContent TakeContent() { return std::move(content_); }
 
   /// Makes a batch durable.
   Result<void> Append(const LogBatch& batch);
 
-  /// Removes segments that hold no entry above `index`; the newest one stays.
+  /// Removes segments that hold no entry above `index`, except the newest segment.
   Result<void> DropThrough(LogIndex index);
 
   std::size_t segment_count() const { return segments_.size(); }
@@ -71,8 +71,8 @@
  private:
   struct Segment {
     std::uint64_t first_sequence = 0;
-    std::uint64_t size = 0;  ///< Bytes of whole, synced frames.
-    LogIndex highest;        ///< The highest index of any entry in it.
+    std::uint64_t size = 0;  ///< Bytes of complete, synced frames.
+    LogIndex highest;        ///< The highest entry index in the segment.
   };
 
   LogStore(FileSystem& files, std::string folder, std::size_t segment_bytes);
--- a/src/storage/memory_file_system.cc
+++ b/src/storage/memory_file_system.cc
@@ -122,7 +122,7 @@
   inode.content += bytes.substr(0, fitting);
   if (fitting == bytes.size()) return {};
   return Fail(ErrorKind::kStorageFull, "Cannot write to " + path + ": no space is left.",
-              "Free space on this file system; the process goes on by itself.");
+              "Free space on this file system; the process then resumes without a restart.");
 }
 
 Result<void> MemoryFileSystem::SyncInode(Inode& inode, const std::string& path) {
@@ -131,7 +131,7 @@
   } else if (failing_syncs_ > 0) {
     --failing_syncs_;
     return Fail(ErrorKind::kStorageIo, "Cannot sync " + path + ": input/output error.",
-                "Replace the disk; start the process again only when the disk is sound.");
+                "Replace the disk; restart the process only once the disk is healthy.");
   }
   inode.synced_size = inode.content.size();
   ++syncs_;
@@ -147,7 +147,7 @@
 void MemoryFileSystem::TearUnsynced(Inode& inode) {
   const std::uint64_t unsynced = inode.content.size() - inode.synced_size;
   inode.content.resize(inode.synced_size + random_() % (unsynced + 1));
-  // Sectors are written in any order: one that came too late reads as zeros.
+  // Sectors are written in any order; one that was not written yet reads as zeros.
   for (std::uint64_t begin = inode.synced_size; begin < inode.content.size();) {
     const std::uint64_t sector_end = (begin / kSectorBytes + 1) * kSectorBytes;
     const std::uint64_t end = std::min<std::uint64_t>(sector_end, inode.content.size());
@@ -160,7 +160,7 @@
   inode.synced_size = inode.content.size();
 }
 
-/// A file keeps at least one of its names: a rename moves it, whatever lasts of that.
+/// A renamed file keeps at least one of its two names, whichever part of the rename survives.
 MemoryFileSystem::Names MemoryFileSystem::NamesAfterPowerLoss() {
   Names after = names_;
   std::set<const Inode*> named;
--- a/src/storage/memory_file_system.h
+++ b/src/storage/memory_file_system.h
@@ -1,6 +1,6 @@
 /// @file
-/// A FileSystem in memory that tells synced from unsynced state and injects faults. For the
-/// simulator and for tests.
+/// In-memory FileSystem that distinguishes synced from unsynced state and injects faults. For the
+/// simulator and tests.
 #pragma once
 
 #include <map>
@@ -12,7 +12,8 @@
 
 namespace graniteseam::storage {
 
-/// Not thread safe. Deterministic: equal seeds and calls give equal faults.
+/// In-memory file system with fault injection. Not thread safe. Deterministic: equal seeds and
+/// calls give equal faults.
 class MemoryFileSystem : public FileSystem {
  public:
   explicit MemoryFileSystem(std::uint64_t seed = 1) : random_(seed) {}
@@ -28,24 +29,24 @@
   Result<std::unique_ptr<FileLock>> Lock(const std::string& path) override;
   Result<std::uint64_t> FreeBytes(const std::string& path) override;
 
-  /// What a loss of power leaves: unsynced names are gone; of unsynced bytes a random prefix
+  /// Simulates a power loss: unsynced names are lost; a random prefix of the unsynced bytes
   /// survives, in which whole sectors may read as zeros. All locks are released, and files opened
   /// before must not be used any more.
   void LosePower();
-  /// From now on a loss of power decides for each name that was created, removed or renamed since
-  /// its folder was synced, independently of the others, whether that lasts; and now and then it
-  /// takes all that was not synced.
+  /// Makes each later power loss decide at random, and independently for each name that was
+  /// created, removed or renamed since its folder was synced, whether the change survives. One in
+  /// four power losses loses all unsynced state.
   void RandomizeNameLoss() { randomize_name_loss_ = true; }
-  /// What the end of the process alone leaves: all that was written. Locks are released.
+  /// Simulates the end of the process alone: all written data survives and locks are released.
   void EndProcess() { locks_.clear(); }
-  /// The disk is replaced by an empty one.
+  /// Replaces the disk by an empty one.
   void LoseDisk();
 
   /// Appends beyond this total fail with kStorageFull after writing what fits.
   void SetCapacity(std::optional<std::uint64_t> bytes) { capacity_ = bytes; }
   /// The next `count` syncs fail with kStorageIo, and their bytes stay unsynced.
   void FailSyncs(int count) { FailSyncsAfter(0, count); }
-  /// The same after `passing` more syncs that succeed.
+  /// As FailSyncs(), after `passing` more successful syncs.
   void FailSyncsAfter(int passing, int count) {
     passing_syncs_ = passing;
     failing_syncs_ = count;
@@ -53,7 +54,7 @@
   /// Flips one bit of a file.
   void FlipBit(const std::string& path, std::uint64_t byte, int bit);
   std::uint64_t SizeOf(const std::string& path) const;
-  /// Successful syncs of files so far.
+  /// Number of successful file syncs.
   std::uint64_t syncs() const { return syncs_; }
 
  private:
@@ -72,11 +73,11 @@
   Names NamesAfterPowerLoss();
 
   std::mt19937_64 random_;
-  Names names_;         ///< As the running process sees them.
-  Names synced_names_;  ///< As they are after a loss of power.
+  Names names_;         ///< As visible to the running process.
+  Names synced_names_;  ///< As durable across a power loss.
   std::set<std::string> locks_;
   std::optional<std::uint64_t> capacity_;
-  int passing_syncs_ = 0;  ///< Before those that fail.
+  int passing_syncs_ = 0;  ///< Successful syncs before the failing ones.
   int failing_syncs_ = 0;
   std::uint64_t syncs_ = 0;
   bool randomize_name_loss_ = false;
--- a/src/storage/posix_file_system.cc
+++ b/src/storage/posix_file_system.cc
@@ -23,11 +23,11 @@
       step + " " + path + ": " + std::generic_category().message(code) + ".";
   if (code == ENOSPC || code == EDQUOT) {
     return Fail(ErrorKind::kStorageFull, message,
-                "Free space on this file system; the process goes on by itself.");
+                "Free space on this file system; the process then resumes without a restart.");
   }
   return Fail(ErrorKind::kStorageIo, message,
-              "Check the disk and the folder's permissions, then start the process again; replace "
-              "the disk when the error comes back.");
+              "Check the disk and the folder's permissions, then restart the process; replace the "
+              "disk if the error recurs.");
 }
 
 /// Owns a file descriptor.
@@ -64,16 +64,16 @@
 
   Result<void> Sync() override {
     if (fdatasync(descriptor_.get()) == 0) return {};
-    // Never retried: the kernel may have dropped the pages that it failed to write.
+    // Never retried, because the kernel may have dropped the pages that it failed to write.
     const int code = errno;
     return Fail(ErrorKind::kStorageIo,
                 "Cannot sync " + path_ + ": " + std::generic_category().message(code) + ".",
-                "Replace the disk; start the process again only when the disk is sound.");
+                "Replace the disk; restart the process only once the disk is healthy.");
   }
 
   Result<void> Truncate(std::uint64_t size) override {
     if (ftruncate(descriptor_.get(), static_cast<off_t>(size)) == 0) return {};
-    return FailWith(errno, "Cannot cut", path_);
+    return FailWith(errno, "Cannot truncate", path_);
   }
 
  private:
@@ -86,7 +86,7 @@
   explicit PosixFileLock(Descriptor descriptor) : descriptor_(std::move(descriptor)) {}
 
  private:
-  Descriptor descriptor_;  ///< flock() ends with it.
+  Descriptor descriptor_;  ///< Closing it releases the flock().
 };
 
 }  // namespace
--- a/src/storage/posix_file_system.h
+++ b/src/storage/posix_file_system.h
@@ -1,12 +1,12 @@
 /// @file
-/// FileSystem over POSIX calls.
+/// FileSystem on POSIX system calls.
 #pragma once
 
 #include "src/storage/file_system.h"
 
 namespace graniteseam::storage {
 
-/// Stateless; thread safe as far as the paths given differ.
+/// FileSystem of the operating system. Stateless; thread safe for calls on different paths.
 class PosixFileSystem : public FileSystem {
  public:
   Result<void> CreateFolder(const std::string& path) override;
--- a/src/storage/segment_name.h
+++ b/src/storage/segment_name.h
@@ -1,5 +1,5 @@
 /// @file
-/// Names of the log's segment files.
+/// File names of log segments.
 #pragma once
 
 #include <cstdint>
@@ -9,10 +9,11 @@
 
 namespace graniteseam::storage {
 
-/// "log-" and the sequence number of the segment's first frame in 20 digits, so that names sort.
+/// Returns "log-" and the sequence number of the segment's first frame in 20 digits, so that names
+/// sort by sequence.
 std::string SegmentName(std::uint64_t first_sequence);
 
-/// The sequence number in a segment's name; nullopt for other files.
+/// Parses the sequence number from a segment's name; nullopt for other files.
 std::optional<std::uint64_t> SegmentSequence(std::string_view name);
 
 }  // namespace graniteseam::storage
--- a/src/storage/snapshot_store.cc
+++ b/src/storage/snapshot_store.cc
@@ -18,11 +18,12 @@
   if (!files_.Exists(path)) return std::optional<StoredSnapshot>();
   BOOST_LEAF_AUTO(content, files_.Read(path));
   const Frame frame = ReadFrame(content);
-  // It was synced before it got its name: anything but a whole frame is damage, never a tear.
+  // The file is synced before it is renamed, so an incomplete frame is corruption and never a torn
+  // write.
   if (frame.state != FrameState::kValid || frame.Bytes() != content.size()) {
     return Fail(ErrorKind::kStorageCorrupt, path + " does not pass its checksum.",
-                "Do not repair the file. Replace this control process's disk as "
-                "docs/operations/replacing-a-control-disk.md tells; the other voters hold the "
+                "Do not repair the file. Replace this control process's disk as described in "
+                "docs/operations/replacing-a-control-disk.md; the other voters hold the "
                 "data.");
   }
   BOOST_LEAF_AUTO(stored, codec::Decode<StoredSnapshot>(frame.payload));
--- a/src/storage/snapshot_store.h
+++ b/src/storage/snapshot_store.h
@@ -1,5 +1,5 @@
 /// @file
-/// The newest snapshot on disk.
+/// Storage of the latest snapshot.
 #pragma once
 
 #include <optional>
@@ -10,22 +10,24 @@
 
 namespace graniteseam::storage {
 
-/// A snapshot with what its saving meant for the log.
+/// A snapshot with its effect on the log.
 struct StoredSnapshot {
   consensus::Snapshot snapshot;
-  bool replaces_log = false;  ///< It came from a leader, and the log before it is void.
+  bool replaces_log = false;  ///< Received from a leader; the log before it is discarded.
 };
 BOOST_DESCRIBE_STRUCT(StoredSnapshot, (), (snapshot, replaces_log))
 
-/// Keeps one snapshot in a folder, as a file "snapshot" in one checksummed frame. Not thread safe.
+/// Stores one snapshot in a folder, as one checksummed frame in the file "snapshot". Not thread
+/// safe.
 class SnapshotStore {
  public:
   SnapshotStore(FileSystem& files, std::string folder);
 
+  /// Reads the snapshot; nullopt when there is none.
   /// @return kStorageCorrupt when the file does not pass its checksum.
   Result<std::optional<StoredSnapshot>> Load();
 
-  /// Replaces the snapshot: after a crash either the old one or the new one is there, whole.
+  /// Replaces the snapshot atomically: a crash leaves either the old or the new one complete.
   Result<void> Save(const StoredSnapshot& stored);
 
  private:
--- a/tests/bundle/bundle_parser_test.cc
+++ b/tests/bundle/bundle_parser_test.cc
@@ -81,13 +81,13 @@
   AssertFault("repeatable = false", "repeatable = false\nhedging = true",
               "services.billing.hedging: Hedging sends a request twice");
   AssertFault("3600000", "20000", "operation_retention_ms: It is not above deadline_maximum_ms.");
-  AssertFault("hedging = true", "operation_retention_ms = 60000", "keeps no operations");
+  AssertFault("hedging = true", "operation_retention_ms = 60000", "has no operation journal");
   AssertFault("hedging = true", "deadline_ms = 40000", "deadline_ms: It is above deadline_maximum");
   AssertFault("hedging = true", "leese_ms = 400", "services.transcripts.leese_ms: The key is not");
   AssertFault("unavailability = 3", "unavailability = 0\nchurn = 0\nimbalance = 0.0",
               "services.transcripts.weights.unavailability: All weights are 0.");
   AssertFault("unavailability = 3", "unavailability = nan", "The number is out of range.");
-  AssertFault("share = 2.5", "share = 0", "groups.carrier-a.share: A share of 0 is none.");
+  AssertFault("share = 2.5", "share = 0", "groups.carrier-a.share: The share must be above 0.");
   AssertFault("\"billing\"]", "\"biling\"]", "no service \"biling\"");
   AssertFault("\"billing\"]", "\"transcripts\"]", "Service \"transcripts\" is named twice.");
   AssertFault("[groups.carrier-a]", "[groups.Carrier]", "groups.Carrier: The name is not allowed.");
