--- a/src/bundle/bundle_store.cc
+++ b/src/bundle/bundle_store.cc
@@ -11,7 +11,7 @@
 
 std::string Name(BundleVersion version) { return "Version " + std::to_string(version.value); }
 
-/// Names differing in case only count as one person.
+/// Compares names without regard to case, so that an author cannot review under another spelling.
 bool SamePerson(const std::string& left, const std::string& right) {
   const auto lower = [](char c) { return std::tolower(static_cast<unsigned char>(c)); };
   return std::equal(left.begin(), left.end(), right.begin(), right.end(),
@@ -36,7 +36,7 @@
 Result<void> BundleStore::Submit(const Bundle& bundle, const std::string& digest,
                                  const std::string& source_text) {
   if (const auto known = bundles_.find(bundle.version); known != bundles_.end()) {
-    // A resend gets the answer of the first, whatever has become of the bundle since.
+    // A resend succeeds as the first submission did, whatever the bundle's state is now.
     if (known->second.record.digest == digest) return {};
     return Fail(ErrorKind::kVersionConflict,
                 Name(bundle.version) + " was submitted before with digest " +
@@ -48,8 +48,8 @@
     return Fail(ErrorKind::kTooLarge, "The bundle's text is too large.",
                 "Shorten it to " + std::to_string(limits_.source_bytes_maximum) + " bytes.");
   }
-  BOOST_LEAF_CHECK(CheckFixedParts(bundle));
-  BOOST_LEAF_CHECK(MakeRoom(source_text.size()));
+  BOOST_LEAF_CHECK(CheckImmutableFields(bundle));
+  BOOST_LEAF_CHECK(EvictOldBundles(source_text.size()));
   BundleRecord record{bundle.version,          digest,     bundle.author, "",
                       BundleState::kSubmitted, source_text};
   bundles_.emplace(bundle.version, StoredBundle{bundle, std::move(record)});
@@ -81,7 +81,7 @@
     return Fail(ErrorKind::kFailedPrecondition, Name(version) + " is not signed.",
                 "Let a reviewer run `graniteseamctl bundle sign`, then roll again.");
   }
-  BOOST_LEAF_CHECK(CheckFixedParts(stored->bundle));
+  BOOST_LEAF_CHECK(CheckImmutableFields(stored->bundle));
   stored->record.state = BundleState::kRolled;
   in_force_ = version;
   for (auto& [lower, other] : bundles_) {
@@ -156,7 +156,7 @@
       "Give the bundle a version above " + std::to_string(in_force_.value) + ".");
 }
 
-Result<void> BundleStore::CheckFixedParts(const Bundle& bundle) const {
+Result<void> BundleStore::CheckImmutableFields(const Bundle& bundle) const {
   for (const Service& service : bundle.services) {
     const auto found = services_ever_rolled_.find(service.name);
     if (found == services_ever_rolled_.end()) continue;
@@ -164,15 +164,16 @@
     if (fixed.kind == service.kind && fixed.shard_count == service.shard_count) continue;
     return Fail(ErrorKind::kFailedPrecondition,
                 "Service \"" + service.name.value + "\" is " + KindName(fixed.kind) + " with " +
-                    std::to_string(fixed.shard_count) + " shards, and that stays.",
+                    std::to_string(fixed.shard_count) + " shards, which cannot change.",
                 "Keep its kind and shard_count, or give the service another name.");
   }
   return {};
 }
 
-/// Drops the oldest bundles below the one in force. Those above it wait to be rolled and stay.
-/// Keeps the invariant on digests: what is dropped can't be submitted again.
-Result<void> BundleStore::MakeRoom(std::size_t source_bytes) {
+/// Evicts the oldest bundles below the one in force until `source_bytes` more fit. Bundles above it
+/// may still be rolled and are retained. This preserves the invariant on digests, since a version
+/// below the one in force cannot be submitted again.
+Result<void> BundleStore::EvictOldBundles(std::size_t source_bytes) {
   std::size_t bytes = SourceBytes() + source_bytes;
   const auto full = [&] {
     return bundles_.size() + 1 > limits_.bundles_maximum || bytes > limits_.history_bytes_maximum;
--- a/src/consensus/leader.cc
+++ b/src/consensus/leader.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The leader's side: heartbeat rounds, leader lease, check-quorum, replication and commit.
+/// The leader's part of Raft: heartbeat rounds, leader lease, check-quorum, replication and commit.
 #include <algorithm>
 #include <functional>
 
@@ -8,7 +8,8 @@
 namespace graniteseam::consensus {
 namespace {
 
-/// The highest value that a quorum of voters has reached. @param values one a voter.
+/// Returns the highest value that a quorum of voters has reached.
+/// @param values one value per voter.
 template <class T>
 T ReachedByQuorum(std::vector<T> values, std::size_t quorum) {
   std::sort(values.begin(), values.end(), std::greater<>());
@@ -22,7 +23,7 @@
   leader_ = self_;
   leader_since_ = now;
   established_at_.reset();
-  commit_told_due_ = Instant::max();
+  commit_notification_due_ = Instant::max();
   transfer_target_.reset();
   progress_.clear();
   round_sent_at_.clear();
@@ -37,21 +38,21 @@
 void RaftConsensus::Impl::LeaderTick(Instant now) {
   if (transfer_target_ && now >= transfer_deadline_) transfer_target_.reset();
   if (now >= QuorumRoundSentAt() + options_.election_timeout_maximum) {
-    // Check-quorum: a leader that is cut off stops claiming to lead.
+    // Check-quorum: a leader without a responsive quorum steps down.
     BecomeFollower(hard_state_.term, std::nullopt, now);
     return;
   }
-  if (now >= commit_told_due_) TellCommit();
+  if (now >= commit_notification_due_) SendCommitIndex();
   if (now < next_heartbeat_) return;
   StartRound(now);
   Heartbeat(now);
 }
 
-void RaftConsensus::Impl::TellCommit() {
-  commit_told_due_ = Instant::max();
+void RaftConsensus::Impl::SendCommitIndex() {
+  commit_notification_due_ = Instant::max();
   for (const Member& peer : OtherMembers()) {
     PeerProgress& progress = progress_.at(VoteKey(peer));
-    if (progress.commit_told < commit_index_) SendEmptyAppend(peer, progress);
+    if (progress.sent_commit_index < commit_index_) SendEmptyAppend(peer, progress);
   }
 }
 
@@ -69,7 +70,7 @@
 std::int64_t RaftConsensus::Impl::QuorumRound() const {
   std::vector<std::int64_t> rounds;
   for (const Member& voter : log_.membership().voters) {
-    const bool own = voter.SameVoteAs(self_);
+    const bool own = voter.IsSameMemberAs(self_);
     rounds.push_back(own ? round_ : progress_.at(VoteKey(voter)).acknowledged_round);
   }
   return ReachedByQuorum(std::move(rounds), QuorumSize());
@@ -83,7 +84,8 @@
 Instant RaftConsensus::Impl::lease_end() const {
   if (role_ != Role::kLeader) return Instant{};
   const auto sent = round_sent_at_.find(QuorumRound());
-  // Dated from the send: whoever answered promised its silence later than that.
+  // The lease counts from the send of the round: a member that responded began to refuse votes
+  // after it.
   return sent == round_sent_at_.end() ? Instant{} : sent->second + options_.leader_lease;
 }
 
@@ -106,8 +108,9 @@
     return;
   }
   const bool waiting =
-      progress.in_flight_end.value != 0 && now < progress.in_flight_since + RetransmitAfter();
-  // One append in flight: what is proposed meanwhile goes into the next one as a batch.
+      progress.in_flight_end.value != 0 && now < progress.in_flight_since + RetransmitTimeout();
+  // At most one append is in flight per member; entries proposed meanwhile are batched into the
+  // next one.
   if (!waiting && progress.next <= log_.last_index()) SendEntries(peer, progress, now);
 }
 
@@ -119,13 +122,14 @@
       commit_index_,          round_};
   progress.in_flight_end = request.entries.back().index;
   progress.in_flight_since = now;
-  progress.commit_told = commit_index_;
+  progress.sent_commit_index = commit_index_;
   Send(peer, std::move(request));
 }
 
 void RaftConsensus::Impl::SendEmptyAppend(const Member& peer, PeerProgress& progress) {
-  progress.commit_told = commit_index_;
-  // Index 0 matches everywhere, so that a heartbeat never fails for what was compacted here.
+  progress.sent_commit_index = commit_index_;
+  // Index 0 matches every log, so that a heartbeat never fails when the match index is compacted
+  // here.
   const auto term = log_.TermAt(progress.match);
   const LogIndex previous = term ? progress.match : LogIndex{};
   Send(peer,
@@ -134,9 +138,9 @@
 
 void RaftConsensus::Impl::OnAppendResponse(const Member& from, const AppendResponse& response,
                                            Instant now) {
-  PeerProgress* const answered = TakeAnswer(from, response.term, response.round, now);
-  if (answered == nullptr) return;
-  PeerProgress& progress = *answered;
+  PeerProgress* const responder = RecordResponse(from, response.term, response.round, now);
+  if (responder == nullptr) return;
+  PeerProgress& progress = *responder;
   if (response.success) {
     progress.match = std::max(progress.match, std::min(response.match_index, log_.last_index()));
     progress.next = std::max(progress.next, progress.match.Next());
@@ -151,8 +155,8 @@
   SendNext(from, progress, now);
 }
 
-PeerProgress* RaftConsensus::Impl::TakeAnswer(const Member& from, Term term, std::int64_t round,
-                                              Instant now) {
+PeerProgress* RaftConsensus::Impl::RecordResponse(const Member& from, Term term, std::int64_t round,
+                                                  Instant now) {
   if (term > hard_state_.term) {
     BecomeFollower(term, std::nullopt, now);
     return nullptr;
@@ -160,28 +164,30 @@
   if (role_ != Role::kLeader || term < hard_state_.term) return nullptr;
   PeerProgress& progress = progress_.at(VoteKey(from));
   progress.acknowledged_round = std::max(progress.acknowledged_round, std::min(round, round_));
-  progress.heard_at = now;
+  progress.last_response_at = now;
   return &progress;
 }
 
 void RaftConsensus::Impl::UpdateLeaderCommit(Instant now) {
   std::vector<LogIndex> durable;
   for (const Member& voter : log_.membership().voters) {
-    const bool own = voter.SameVoteAs(self_);
+    const bool own = voter.IsSameMemberAs(self_);
     durable.push_back(own ? durable_index_ : progress_.at(VoteKey(voter)).match);
   }
   const LogIndex reached = ReachedByQuorum(std::move(durable), QuorumSize());
   if (reached > commit_index_ && log_.TermAt(reached) == hard_state_.term) {
     AdvanceCommit(reached);
-    const bool told = options_.commit_told_within > Duration{};
-    if (told) commit_told_due_ = std::min(commit_told_due_, now + options_.commit_told_within);
+    const bool delayed = options_.commit_notification_delay > Duration{};
+    if (delayed)
+      commit_notification_due_ =
+          std::min(commit_notification_due_, now + options_.commit_notification_delay);
   }
   if (!established_at_ && commit_index_ >= noop_index_) {
     established_at_ = now;
     effects_.role_changed = true;
   }
   if (!IsVoter(self_) && log_.membership_index() <= commit_index_) {
-    // It led until its own removal was committed (dissertation, 4.2.2).
+    // A removed leader leads until its own removal is committed (dissertation, 4.2.2).
     BecomeFollower(hard_state_.term, std::nullopt, now);
     return;
   }
@@ -198,7 +204,7 @@
                 known ? "Send the request to it." : "Try again in a second.");
   }
   if (TransferPending(now)) {
-    return Fail(ErrorKind::kUnavailable, "Leadership is being handed over.",
+    return Fail(ErrorKind::kUnavailable, "A leadership transfer is in progress.",
                 "Try again in a second.");
   }
   return {};
--- a/src/control/membership_repair.cc
+++ b/src/control/membership_repair.cc
@@ -14,13 +14,13 @@
 
 const consensus::PeerStatus* StatusOf(const MembershipView& view, const Member& member) {
   const auto found = std::find_if(view.others.begin(), view.others.end(), [&](const auto& other) {
-    return other.member.SameVoteAs(member);
+    return other.member.IsSameMemberAs(member);
   });
   return found == view.others.end() ? nullptr : &*found;
 }
 
 bool IsReachable(const MembershipView& view, const Member& member) {
-  if (member.SameVoteAs(view.self)) return true;
+  if (member.IsSameMemberAs(view.self)) return true;
   const consensus::PeerStatus* status = StatusOf(view, member);
   return status != nullptr && status->silence <= kReachableWithin;
 }
@@ -32,7 +32,7 @@
 }
 
 void Erase(std::vector<Member>& members, const Member& gone) {
-  std::erase_if(members, [&](const Member& member) { return member.SameVoteAs(gone); });
+  std::erase_if(members, [&](const Member& member) { return member.IsSameMemberAs(gone); });
 }
 
 Membership WithLearner(Membership membership, const Member& learner) {
@@ -130,7 +130,7 @@
   for (const Member& member : view.announced) {
     const auto& learners = view.membership.learners;
     const auto older = std::find_if(learners.begin(), learners.end(), [&](const Member& one) {
-      return one.id == member.id && !one.SameVoteAs(member);
+      return one.id == member.id && !one.IsSameMemberAs(member);
     });
     if (older != learners.end()) return WithoutLearner(view.membership, *older);
     if (learners.size() < kLearnersMaximum) return WithLearner(view.membership, member);
--- a/src/storage/consensus_storage.cc
+++ b/src/storage/consensus_storage.cc
@@ -3,8 +3,8 @@
 namespace graniteseam::storage {
 namespace {
 
-/// Marks a folder that was made for the founding of a group.
-constexpr const char* kFoundingName = "founding";
+/// File that marks a folder as initialised for the bootstrap of a group.
+constexpr const char* kBootstrapMarkerName = "founding";
 
 }  // namespace
 
@@ -19,7 +19,7 @@
 Result<std::unique_ptr<ConsensusStorage>> ConsensusStorage::Open(FileSystem& files,
                                                                  const StorageOptions& options) {
   const DiskIncarnation fresh =
-      options.fresh_incarnation ? *options.fresh_incarnation : DrawIncarnation();
+      options.fresh_incarnation ? *options.fresh_incarnation : GenerateIncarnation();
   BOOST_LEAF_AUTO(folder, DataFolder::Open(files, options.folder, options.id, fresh));
   BOOST_LEAF_AUTO(log, LogStore::Open(files, options.folder, options.segment_bytes));
   std::unique_ptr<ConsensusStorage> storage(
@@ -34,20 +34,21 @@
   torn_bytes_ = content.torn_bytes;
   recovered_.self = {options_.id, folder_.incarnation(), options_.address, options_.zone};
   recovered_.hard_state = content.hard_state;
-  BOOST_LEAF_AUTO(founds, Founds());
+  BOOST_LEAF_AUTO(bootstrapping, EnsureBootstrapMarker());
   recovered_.bootstrap = options_.bootstrap;
-  if (founds && !recovered_.bootstrap) recovered_.bootstrap = options_.founders;
+  if (bootstrapping && !recovered_.bootstrap) recovered_.bootstrap = options_.configured_voters;
   recovered_.seeds = options_.seeds;
   BOOST_LEAF_CHECK(RecoverEntries(std::move(content), stored));
   if (stored) recovered_.snapshot = std::move(stored->snapshot);
   return {};
 }
 
-Result<bool> ConsensusStorage::Founds() {
-  const std::string path = options_.folder + "/" + kFoundingName;
+Result<bool> ConsensusStorage::EnsureBootstrapMarker() {
+  const std::string path = options_.folder + "/" + kBootstrapMarkerName;
   if (files_.Exists(path)) return true;
   if (!folder_.initialised_now() || !options_.bootstrap) return false;
-  BOOST_LEAF_CHECK(WriteFileAtomically(files_, options_.folder, kFoundingName, "founding\n"));
+  BOOST_LEAF_CHECK(
+      WriteFileAtomically(files_, options_.folder, kBootstrapMarkerName, "founding\n"));
   return true;
 }
 
@@ -58,7 +59,8 @@
     previous = stored->snapshot.last_index;
     const LogReplacement replacement{previous, stored->snapshot.last_term};
     if (stored->replaces_log && content.replaced_by != replacement) {
-      // A crash came between the snapshot and the frame that voids the log before it.
+      // A crash happened after the snapshot was saved and before the log frame that replaces the
+      // older log: writes that frame now.
       LogBatch batch;
       batch.replaced_by = replacement;
       BOOST_LEAF_CHECK(log_->Append(batch));
@@ -71,8 +73,8 @@
       return Fail(ErrorKind::kStorageCorrupt,
                   "The log in " + options_.folder + " lacks entry " +
                       std::to_string(previous.Next().value) + ".",
-                  "Replace this control process's disk as "
-                  "docs/operations/replacing-a-control-disk.md tells.");
+                  "Replace this control process's disk as described in "
+                  "docs/operations/replacing-a-control-disk.md.");
     }
     previous = index;
     recovered_.entries.push_back(std::move(entry));
@@ -83,8 +85,8 @@
 Result<void> ConsensusStorage::Persist(const consensus::PersistRequest& request) {
   LogBatch batch;
   if (request.snapshot) {
-    // A truncation from right after the snapshot, or from before it when requests were joined,
-    // leaves nothing of the log on disk: it may be another history.
+    // A truncation directly after the snapshot, or before it when requests were merged, replaces
+    // the whole log on disk, because its entries may conflict with the leader's.
     const bool replaces_log =
         request.truncate_from && *request.truncate_from <= request.snapshot->last_index.Next();
     BOOST_LEAF_CHECK(snapshots_.Save({*request.snapshot, replaces_log}));
