--- a/src/control/control_node_impl.cc
+++ b/src/control/control_node_impl.cc
@@ -260,7 +260,7 @@
 // --- Leadership ---
 
 std::uint64_t ControlNode::Impl::decision_looks() const {
-  return looks_before_ + (leadership_ ? leadership_->traffic.ranges().looks() : 0);
+  return looks_before_ + (leadership_ ? leadership_->traffic.ranges().evaluations() : 0);
 }
 
 bool ControlNode::Impl::Leading(Instant now) const {
@@ -295,7 +295,7 @@
     numbers_used_ = leadership_->ownership.leases().numbers_used();
     orders_used_ = leadership_->traffic.ranges().last_number();
     pushes_used_ = leadership_->traffic.sessions().last_push();
-    looks_before_ += leadership_->traffic.ranges().looks();
+    looks_before_ += leadership_->traffic.ranges().evaluations();
   }
   leadership_.reset();
   for (const Deferred& deferred : deferred_.TakeAll()) {
--- a/src/control/heartbeat_leases.cc
+++ b/src/control/heartbeat_leases.cc
@@ -41,12 +41,13 @@
 
 }  // namespace
 
-void RangeController::FollowForms(Instant now) {
+void RangeController::UpdateLeaseForms(Instant now) {
   if (followed_configuration_ == state_.configuration().changed_at()) return;
   followed_configuration_ = state_.configuration().changed_at();
   for (const traffic::Service& service : state_.configuration().current().services) {
     if (!service.keyed) continue;
-    const auto [known, fresh] = forms_.try_emplace(service.name, FormCare{service.lease_form, {}});
+    const auto [known, fresh] =
+        lease_forms_.try_emplace(service.name, LeaseFormStatus{service.lease_form, {}});
     if (fresh || known->second.form == service.lease_form) continue;
     const Duration longest = std::max(options_.hold, options_.lease_length);
     known->second = {service.lease_form, EndOfGrant(longest, now)};
@@ -54,36 +55,38 @@
 }
 
 bool RangeController::LeasedByHeartbeat(const ServiceName& service) const {
-  const auto known = forms_.find(service);
-  return known != forms_.end() && known->second.form == traffic::LeaseForm::kHeartbeat;
+  const auto known = lease_forms_.find(service);
+  return known != lease_forms_.end() && known->second.form == traffic::LeaseForm::kHeartbeat;
 }
 
-bool RangeController::InQuietTime(const ServiceName& service, Instant now) const {
-  const auto known = forms_.find(service);
-  return known != forms_.end() && now < known->second.quiet_until;
+bool RangeController::InFormTransition(const ServiceName& service, Instant now) const {
+  const auto known = lease_forms_.find(service);
+  return known != lease_forms_.end() && now < known->second.transition_until;
 }
 
 std::optional<traffic::KeyLeases> RangeController::TakeHeartbeat(const ReportInstance& heartbeat,
                                                                  Instant now) {
   const traffic::InstanceReport& report = heartbeat.report;
-  FollowForms(now);
-  if (!LeasedByHeartbeat(report.service) || InQuietTime(report.service, now)) return std::nullopt;
+  UpdateLeaseForms(now);
+  if (!LeasedByHeartbeat(report.service) || InFormTransition(report.service, now))
+    return std::nullopt;
   if (followed_version_ != state_.ranges().changed_at()) FollowRanges(now);
-  Holder& holder = holders_[report.id];
+  HeartbeatStatus& heartbeat_status = heartbeat_status_[report.id];
   // A late heartbeat tells of keys as they were.
-  if (report.sequence <= holder.sequence) return std::nullopt;
-  holder.sequence = report.sequence;
-  const Duration since = now - holder.heard;
-  if (kShortestInterval < since && since < options_.lease_pickup) holder.interval = since;
-  holder.heard = now;
+  if (report.sequence <= heartbeat_status.sequence) return std::nullopt;
+  heartbeat_status.sequence = report.sequence;
+  const Duration since = now - heartbeat_status.last_heartbeat;
+  if (kShortestInterval < since && since < options_.lease_pickup) heartbeat_status.interval = since;
+  heartbeat_status.last_heartbeat = now;
   traffic::KeyLeases leases;
   leases.length_ms = options_.lease_length.count() / 1'000;
   for (const auto& [first, range] : state_.ranges().services().at(report.service)) {
     if (range.owner != report.id) continue;
-    RangeCare& care = care_.at({range.service, first});
-    TakeHeldSpans(heartbeat.keys, range, care);
-    if (range.phase == RangePhase::kReleasing) TakeRelease(heartbeat, holder, range, care, now);
-    Lease(range, care, holder, leases, now);
+    RangeStatus& status = range_status_.at({range.service, first});
+    TakeHeldSpans(heartbeat.keys, range, status);
+    if (range.phase == RangePhase::kReleasing)
+      TakeRelease(heartbeat, heartbeat_status, range, status, now);
+    Lease(range, status, heartbeat_status, leases, now);
   }
   NoteUnknownKeys(heartbeat);
   return leases;
@@ -101,41 +104,44 @@
   }
 }
 
-void RangeController::Lease(const KeyRange& range, RangeCare& care, Holder& holder,
-                            traffic::KeyLeases& leases, Instant now) {
-  const std::vector<KeySpan> given = SpansToLease(range, care);
+void RangeController::Lease(const KeyRange& range, RangeStatus& status,
+                            HeartbeatStatus& heartbeat_status, traffic::KeyLeases& leases,
+                            Instant now) {
+  const std::vector<KeySpan> given = SpansToLease(range, status);
   for (const KeySpan& span : given) {
     leases.spans.push_back({span, range.fence, range.handover});
     NoteGrant(range.owner, range.service, span, EndOfGrant(options_.lease_length, now));
-    std::erase_if(holder.omissions,
+    std::erase_if(heartbeat_status.omissions,
                   [&](const Omission& omission) { return omission.span.Overlaps(span); });
   }
   if (!given.empty()) {
     // Routers may send to the owner at once: its answer is on the way, and what comes sooner is
     // refused by it without being run.
-    if (range.phase == RangePhase::kGranting && !care.confirmed) decide_due_ = now;
-    care.leased = care.confirmed = true;
+    if (range.phase == RangePhase::kGranting && !status.confirmed) decide_due_ = now;
+    status.leased = status.confirmed = true;
   }
   std::vector<KeySpan> omitted{range.span};
   for (const KeySpan& span : given) omitted = Without(omitted, span);
   for (const KeySpan& span : omitted) {
-    if (NoteOmission(holder, span, now)) decide_due_ = now;
+    if (NoteOmission(heartbeat_status, span, now)) decide_due_ = now;
   }
 }
 
-void RangeController::TakeRelease(const ReportInstance& heartbeat, const Holder& holder,
-                                  const KeyRange& range, RangeCare& care, Instant now) {
-  if (care.released) return;
+void RangeController::TakeRelease(const ReportInstance& heartbeat,
+                                  const HeartbeatStatus& heartbeat_status, const KeyRange& range,
+                                  RangeStatus& status, Instant now) {
+  if (status.released) return;
   // What is left out is known of this leadership's answers only: a heartbeat that was sent before
   // a former leader's answer may come after them.
   if (now <= inherited_until_) return;
   // Only a heartbeat that was sent after an answer without these keys tells of their release: one
   // before it may have been sent before the keys were leased.
-  const auto omission =
-      std::find_if(holder.omissions.begin(), holder.omissions.end(), [&](const Omission& known) {
-        return known.span.Contains(range.span) && known.sequence < heartbeat.report.sequence;
-      });
-  if (omission == holder.omissions.end()) return;
+  const auto omission = std::find_if(heartbeat_status.omissions.begin(),
+                                     heartbeat_status.omissions.end(), [&](const Omission& known) {
+                                       return known.span.Contains(range.span) &&
+                                              known.sequence < heartbeat.report.sequence;
+                                     });
+  if (omission == heartbeat_status.omissions.end()) return;
   const auto& held = heartbeat.keys.held;
   const bool holds = std::any_of(held.begin(), held.end(), [&](const traffic::HeldSpan& one) {
     return one.span.Overlaps(range.span);
@@ -148,8 +154,8 @@
   // passed in which the instance could still take an earlier answer that gave the keys.
   const bool settled = now - omission->at > options_.answer_taken_within;
   if (told == released.end() && !settled) return;
-  care.released = true;
-  if (told != released.end()) care.handover = told->handover;
+  status.released = true;
+  if (told != released.end()) status.handover = told->handover;
   Note("released", range, range.span,
        "by heartbeat " + std::to_string(heartbeat.report.sequence) + ", left out since " +
            std::to_string(omission->sequence) + (told == released.end() ? ", not told" : ""));
@@ -157,18 +163,19 @@
 }
 
 void RangeController::TakeHeldSpans(const traffic::HeldKeys& keys, const KeyRange& range,
-                                    RangeCare& care) {
-  if (!care.leased || !range.Owned()) return;
+                                    RangeStatus& status) {
+  if (!status.leased || !range.Owned()) return;
   const bool told =
       std::any_of(keys.held.begin(), keys.held.end(), [&](const traffic::HeldSpan& one) {
         return one.fence == range.fence && one.span.Overlaps(range.span);
       });
-  care.unheeded = told ? 0 : care.unheeded + 1;
-  care.refused = care.refused || care.unheeded > kUnheededMaximum;
+  status.missed_reports = told ? 0 : status.missed_reports + 1;
+  status.refused = status.refused || status.missed_reports > kUnheededMaximum;
 }
 
-std::vector<KeySpan> RangeController::SpansToLease(const KeyRange& range, const RangeCare& care) {
-  if (!range.Owned() || OwnerMustGo(range) || care.refused || care.given_away) return {};
+std::vector<KeySpan> RangeController::SpansToLease(const KeyRange& range,
+                                                   const RangeStatus& status) {
+  if (!range.Owned() || MustRelease(range) || status.refused || status.reassigned) return {};
   std::vector<KeySpan> spans{range.span};
   for (PlannedMove& move : planned_) {
     const traffic::RangeRelease& release = move.release;
@@ -181,18 +188,19 @@
   return spans;
 }
 
-bool RangeController::NoteOmission(Holder& holder, const KeySpan& span, Instant now) {
+bool RangeController::NoteOmission(HeartbeatStatus& heartbeat_status, const KeySpan& span,
+                                   Instant now) {
   const bool known =
-      std::any_of(holder.omissions.begin(), holder.omissions.end(),
+      std::any_of(heartbeat_status.omissions.begin(), heartbeat_status.omissions.end(),
                   [&](const Omission& omission) { return omission.span.Contains(span); });
-  if (!known) holder.omissions.push_back({span, holder.sequence, now});
+  if (!known) heartbeat_status.omissions.push_back({span, heartbeat_status.sequence, now});
   return !known;
 }
 
-bool RangeController::AwaitsFirstLease(const KeyRange& range, const RangeCare& care,
+bool RangeController::AwaitsFirstLease(const KeyRange& range, const RangeStatus& status,
                                        Instant now) const {
-  const bool assigned = range.phase == RangePhase::kGranting && !care.leased && !care.refused;
-  return assigned && !OwnerMustGo(range) && now - care.since < options_.lease_pickup;
+  const bool assigned = range.phase == RangePhase::kGranting && !status.leased && !status.refused;
+  return assigned && !MustRelease(range) && now - status.since < options_.lease_pickup;
 }
 
 std::vector<traffic::RangeRelease> RangeController::PlannedMoves(const ServiceName& service) const {
@@ -217,9 +225,11 @@
   });
 }
 
-bool RangeController::HeardLately(const traffic::InstanceId& instance, Instant now) const {
-  const auto found = holders_.find(instance);
-  return found != holders_.end() && now - found->second.heard <= options_.lease_pickup;
+bool RangeController::SentHeartbeatRecently(const traffic::InstanceId& instance,
+                                            Instant now) const {
+  const auto found = heartbeat_status_.find(instance);
+  return found != heartbeat_status_.end() &&
+         now - found->second.last_heartbeat <= options_.lease_pickup;
 }
 
 }  // namespace graniteseam::control
--- a/src/control/ownership_controller.cc
+++ b/src/control/ownership_controller.cc
@@ -43,18 +43,18 @@
 void OwnershipController::TakePlatformList(const PlatformList& list, Instant now) {
   machines_.clear();
   for (const auto& machine : list.machines) machines_[machine.server] = machine;
-  GreetMachines(now);
+  ContactMachines(now);
   leaving_stale_ = true;
   for (const auto& [id, record] : state_.servers().servers()) {
     if (record.serving || machines_.contains(id)) {
-      gone_since_.erase(id);
+      absent_since_.erase(id);
     } else {
-      gone_since_.try_emplace(id, now);
+      absent_since_.try_emplace(id, now);
     }
   }
 }
 
-void OwnershipController::GreetMachines(Instant now) {
+void OwnershipController::ContactMachines(Instant now) {
   for (const auto& [id, machine] : machines_) {
     const auto lease = state_.LeaseOf(machine.service);
     if (lease) leases_.AddUnleased(id, *lease, now);
@@ -77,20 +77,20 @@
     leases_.Admit(server, record->incarnation, now);
     last_joined_[record->service] = now;
     balancer_.Joined(server, now);
-    says_leaving_.erase(server);
+    reported_leaving_.erase(server);
     leaving_stale_ = true;
   }
   if (outcome.bundle_rolled) {
     for (const auto& [id, record] : state_.servers().servers()) {
       if (const auto lease = state_.LeaseOf(record.service)) leases_.AddUnleased(id, *lease, now);
     }
-    GreetMachines(now);
+    ContactMachines(now);
   }
   FollowShards(now);
-  std::erase_if(undecided_, [&](const auto& entry) {
+  std::erase_if(pending_changes_, [&](const auto& entry) {
     return entry.second.value != 0 && entry.second <= state_.applied();
   });
-  if (state_.applied() >= promised_until_) promised_.clear();
+  if (state_.applied() >= pending_assignments_until_) pending_assignments_.clear();
   if (state_.map_version() == map_followed_) return;
   map_followed_ = state_.map_version();
   placement_stale_ = true;
@@ -107,8 +107,8 @@
   }
 }
 
-bool OwnershipController::Undecided(const ServerId& server) const {
-  return undecided_.contains(server);
+bool OwnershipController::HasPendingChange(const ServerId& server) const {
+  return pending_changes_.contains(server);
 }
 
 const PlatformMachine* OwnershipController::Machine(const ServerId& server) const {
@@ -119,7 +119,7 @@
 std::vector<CommandBody> OwnershipController::Decide(Instant now) {
   now_ = now;
   std::vector<CommandBody> commands;
-  TargetChoosers choosers(state_, healthy_, promised_);
+  TargetChoosers choosers(state_, healthy_, pending_assignments_);
   DecideLosses(now, choosers, commands);
   DecideAppearances(commands);
   DecideReleases(choosers, commands);
@@ -133,18 +133,18 @@
   if (state_.applied() >= placement_proposed_) {
     const std::size_t before = commands.size();
     if (std::exchange(placement_stale_, false)) {
-      DecideOrphans(now, choosers, commands);
+      DecideUnassigned(now, choosers, commands);
       DecideDrains(now, choosers, commands);
     }
     // Moves for balance wait while shards without an owner are being given away.
     if (commands.size() == before) DecideBalance(now, commands);
     placement_decided_ = commands.size() > before;
   }
-  Promise(commands);
+  CountPendingAssignments(commands);
   return commands;
 }
 
-void OwnershipController::Promise(const std::vector<CommandBody>& commands) {
+void OwnershipController::CountPendingAssignments(const std::vector<CommandBody>& commands) {
   for (const auto& command : commands) {
     const std::vector<placement::Assignment>* assignments = nullptr;
     if (const auto* lose = std::get_if<LoseServerCommand>(&command)) {
@@ -153,28 +153,28 @@
       assignments = &assign->assignments;
     }
     if (assignments == nullptr) continue;
-    for (const auto& assignment : *assignments) ++promised_[assignment.server];
+    for (const auto& assignment : *assignments) ++pending_assignments_[assignment.server];
   }
 }
 
 void OwnershipController::Proposed(LogIndex last) {
-  for (auto& [server, index] : undecided_) {
+  for (auto& [server, index] : pending_changes_) {
     if (index.value == 0) index = last;
   }
   if (placement_decided_) placement_proposed_ = last;
-  promised_until_ = last;
+  pending_assignments_until_ = last;
 }
 
 void OwnershipController::DecideLosses(Instant now, TargetChoosers& choosers,
                                        std::vector<CommandBody>& commands) {
   for (const auto& server : leases_.expired()) {
-    if (Undecided(server)) continue;
+    if (HasPendingChange(server)) continue;
     if (const auto successor = leases_.Successor(server, now)) {
       // The old incarnation's lease is over and a new one answers: it keeps the server's shards, at
       // new epochs, which costs no move.
       if (auto command = Registration(server, *successor)) {
         commands.push_back(std::move(*command));
-        undecided_[server] = LogIndex{};
+        pending_changes_[server] = LogIndex{};
         continue;
       }
     }
@@ -182,13 +182,13 @@
     if (record == nullptr) continue;
     commands.emplace_back(
         LoseServerCommand{server, record->incarnation, AssignShardsOf(server, state_, choosers)});
-    undecided_[server] = LogIndex{};
+    pending_changes_[server] = LogIndex{};
   }
 }
 
 void OwnershipController::DecideAppearances(std::vector<CommandBody>& commands) {
   for (const auto& appearance : leases_.TakeAppearances()) {
-    if (Undecided(appearance.server) || !MayReplace(appearance.server)) continue;
+    if (HasPendingChange(appearance.server) || !MayReplace(appearance.server)) continue;
     const auto* record = state_.servers().Find(appearance.server);
     if (record != nullptr && record->serving && record->incarnation == appearance.incarnation) {
       continue;
@@ -196,7 +196,7 @@
     auto command = Registration(appearance.server, appearance.incarnation);
     if (!command) continue;
     commands.push_back(std::move(*command));
-    undecided_[appearance.server] = LogIndex{};
+    pending_changes_[appearance.server] = LogIndex{};
   }
 }
 
@@ -221,7 +221,7 @@
   return std::nullopt;
 }
 
-bool OwnershipController::MayReceive(const ServerId& server) const {
+bool OwnershipController::MayReceiveShards(const ServerId& server) const {
   const auto* record = state_.servers().Find(server);
   if (record == nullptr || !record->AcceptsNewWork()) return false;
   // Not Healthy(): a new leader has not heard of every server yet, and an accepted move should end
@@ -235,8 +235,8 @@
   for (const auto& release : leases_.TakeReleases()) {
     const auto shard = state_.shards().Find(release.grant.shard);
     if (!shard || shard->epoch != release.grant.epoch || shard->owner != release.server) continue;
-    const auto target = MayReceive(shard->target) ? std::optional(shard->target)
-                                                  : choosers.For(shard->shard.service).Next();
+    const auto target = MayReceiveShards(shard->target) ? std::optional(shard->target)
+                                                        : choosers.For(shard->shard.service).Next();
     // Released, so it must go on somewhere: the target of the plan, else back to the old owner.
     command.assignments.push_back({shard->shard, shard->epoch, target.value_or(shard->owner)});
   }
@@ -245,15 +245,15 @@
 
 void OwnershipController::DecideLeaving(std::vector<CommandBody>& commands) {
   for (const auto& [server, leaving] : leases_.TakeLeavingChanges()) {
-    says_leaving_[server] = leaving;
+    reported_leaving_[server] = leaving;
     leaving_stale_ = true;
   }
   if (!std::exchange(leaving_stale_, false)) return;
   for (const auto& [id, record] : state_.servers().servers()) {
     const auto* machine = Machine(id);
-    const auto word = says_leaving_.find(id);
-    const bool leaving =
-        (machine != nullptr && machine->leaving) || (word != says_leaving_.end() && word->second);
+    const auto reported = reported_leaving_.find(id);
+    const bool leaving = (machine != nullptr && machine->leaving) ||
+                         (reported != reported_leaving_.end() && reported->second);
     if (record.serving && record.leaving != leaving) {
       commands.emplace_back(SetLeavingCommand{id, leaving});
     }
@@ -261,9 +261,9 @@
 }
 
 void OwnershipController::DecideRemovals(Instant now, std::vector<CommandBody>& commands) {
-  std::erase_if(gone_since_, [&](const auto& entry) {
+  std::erase_if(absent_since_, [&](const auto& entry) {
     if (now - entry.second < options_.forget_after) return false;
-    if (!Undecided(entry.first)) commands.emplace_back(RemoveServerCommand{entry.first});
+    if (!HasPendingChange(entry.first)) commands.emplace_back(RemoveServerCommand{entry.first});
     return true;
   });
 }
@@ -281,24 +281,24 @@
   placement_due_ = std::min(placement_due_.value_or(at), at);
 }
 
-void OwnershipController::DecideOrphans(Instant now, TargetChoosers& choosers,
-                                        std::vector<CommandBody>& commands) {
+void OwnershipController::DecideUnassigned(Instant now, TargetChoosers& choosers,
+                                           std::vector<CommandBody>& commands) {
   if (state_.shards().OwnedCount(ServerId{}) == 0) return;
   AssignShardsCommand command;
   std::map<ServiceName, bool> waits;
-  for (const auto& orphan : state_.shards().Unassigned()) {
-    const auto& service = orphan.shard.service;
+  for (const auto& unassigned : state_.shards().Unassigned()) {
+    const auto& service = unassigned.shard.service;
     TargetChooser& chooser = choosers.For(service);
     if (chooser.empty()) {
       if (chooser.has_unhealthy()) WakeForPlacement(now + options_.placement_retry);
       continue;
     }
-    if (orphan.epoch.value == 0) {
+    if (unassigned.epoch.value == 0) {
       const auto [wait, inserted] = waits.try_emplace(service, false);
       if (inserted) wait->second = FirstAssignmentWaits(service, now);
       if (wait->second) continue;
     }
-    command.assignments.push_back({orphan.shard, orphan.epoch, *chooser.Next()});
+    command.assignments.push_back({unassigned.shard, unassigned.epoch, *chooser.Next()});
     if (command.assignments.size() < options_.assignments_maximum) continue;
     commands.emplace_back(std::exchange(command, {}));
   }
--- a/src/control/ownership_controller.h
+++ b/src/control/ownership_controller.h
@@ -70,9 +70,9 @@
 
  private:
   void AddKnownServers(Instant now);
-  void GreetMachines(Instant now);
+  void ContactMachines(Instant now);
   void FollowShards(Instant now);
-  bool Undecided(const ServerId& server) const;
+  bool HasPendingChange(const ServerId& server) const;
   const PlatformMachine* Machine(const ServerId& server) const;
 
   void DecideLosses(Instant now, TargetChoosers& choosers, std::vector<CommandBody>& commands);
@@ -80,15 +80,15 @@
   void DecideReleases(TargetChoosers& choosers, std::vector<CommandBody>& commands);
   void DecideRemovals(Instant now, std::vector<CommandBody>& commands);
   void DecideLeaving(std::vector<CommandBody>& commands);
-  void DecideOrphans(Instant now, TargetChoosers& choosers, std::vector<CommandBody>& commands);
+  void DecideUnassigned(Instant now, TargetChoosers& choosers, std::vector<CommandBody>& commands);
   void DecideBalance(Instant now, std::vector<CommandBody>& commands);
   void DecideDrains(Instant now, TargetChoosers& choosers, std::vector<CommandBody>& commands);
   std::optional<CommandBody> Registration(const ServerId& server, Incarnation incarnation) const;
-  bool MayReceive(const ServerId& server) const;
+  bool MayReceiveShards(const ServerId& server) const;
   bool MayReplace(const ServerId& server) const;
   bool FirstAssignmentWaits(const ServiceName& service, Instant now);
   void WakeForPlacement(Instant at);
-  void Promise(const std::vector<CommandBody>& commands);
+  void CountPendingAssignments(const std::vector<CommandBody>& commands);
 
   OwnershipOptions options_;
   const ReplicatedState& state_;
@@ -97,17 +97,17 @@
   LoadBalancer balancer_;
   Instant now_{};  ///< Of the call under way, for `healthy_`.
   std::map<ServerId, PlatformMachine> machines_;
-  std::map<ServerId, bool> says_leaving_;  ///< Each server's own word.
+  std::map<ServerId, bool> reported_leaving_;  ///< Each server's own word.
   std::map<ServiceName, Instant> last_joined_;
   /// Servers with a registration or loss under way, and its log index; 0 until it is proposed.
-  std::map<ServerId, LogIndex> undecided_;
-  PromisedShards promised_;
-  LogIndex promised_until_;                 ///< `promised_` counts until this is applied.
-  std::map<ServerId, Instant> gone_since_;  ///< Without a lease and not on the platform's list.
-  std::uint64_t map_followed_ = 0;          ///< Version of servers and shards last looked at.
-  std::uint64_t shards_followed_ = 0;       ///< Version of the shard table that leases_ knows.
-  LogIndex placement_proposed_;             ///< Orphans and drains wait until this is applied.
-  bool placement_decided_ = false;          ///< In the last Decide().
+  std::map<ServerId, LogIndex> pending_changes_;
+  PendingAssignments pending_assignments_;
+  LogIndex pending_assignments_until_;  ///< `pending_assignments_` counts until this is applied.
+  std::map<ServerId, Instant> absent_since_;  ///< Without a lease and not on the platform's list.
+  std::uint64_t map_followed_ = 0;            ///< Version of servers and shards last looked at.
+  std::uint64_t shards_followed_ = 0;         ///< Version of the shard table that leases_ knows.
+  LogIndex placement_proposed_;               ///< Orphans and drains wait until this is applied.
+  bool placement_decided_ = false;            ///< In the last Decide().
   bool leaving_stale_ = true;
   bool placement_stale_ = true;
   std::optional<Instant> placement_due_;  ///< When to look at placement again.
--- a/src/control/quota_ledger.cc
+++ b/src/control/quota_ledger.cc
@@ -16,7 +16,7 @@
 constexpr Duration kDivideInterval{200'000};
 constexpr Duration kNoteInterval{1'000'000};
 /// Quotas of many tenants among many routers are divided less often: a twentieth of a core at most.
-constexpr Duration kTimePerLook{5};
+constexpr Duration kDivideIntervalPerShare{5};
 /// Added to a lease, beside the drift of clocks, before its end is taken for certain.
 constexpr Duration kLeaseSlack{200'000};
 /// Of a quota's burst, the part that is leased in shares; single tokens take the rest.
@@ -40,11 +40,11 @@
 /// after two polls.
 constexpr Duration kLastingAfter{3'000'000};
 /// Requests that should have come in a silence, to take it for the end of a demand.
-constexpr double kSilenceInRequests = 3.0;
+constexpr double kMissingRequestsMaximum = 3.0;
 /// Over what time a router's demand is averaged.
 constexpr double kDemandSeconds = 4.0;
 /// A share changes only by more than this part: each change is told to its router.
-constexpr double kWorthTelling = 0.2;
+constexpr double kShareChangeMinimum = 0.2;
 /// A share that lets no whole request in at once is none.
 constexpr double kBurstMinimum = 1.0;
 constexpr std::uint64_t kNumbersPerTerm = std::uint64_t{1} << 32;
@@ -56,8 +56,8 @@
 constexpr std::size_t kTenantsPerRouter = 4'096;
 
 /// Whether a share that goes from one size to another is worth telling to its router.
-bool IsWorthTelling(double before, double after) {
-  return (before == 0) != (after == 0) || std::abs(after - before) > kWorthTelling * before;
+bool IsSignificantChange(double before, double after) {
+  return (before == 0) != (after == 0) || std::abs(after - before) > kShareChangeMinimum * before;
 }
 
 }  // namespace
@@ -67,7 +67,7 @@
       first_number_(term * kNumbersPerTerm + 1),
       inherited_until_(now + traffic::kQuotaLease + kLeaseSlack) {}
 
-bool QuotaLedger::Inherits(Instant now) const { return now < inherited_until_; }
+bool QuotaLedger::MayHaveInheritedLeases(Instant now) const { return now < inherited_until_; }
 
 void QuotaLedger::SetQuota(Account& account, const traffic::TenantQuota& quota) const {
   account.quota = quota;
@@ -90,7 +90,7 @@
     if (known != accounts_.end()) {
       account = known->second;
     } else {
-      account.filled = now;
+      account.refilled_at = now;
     }
     SetQuota(account, tenant.quota);
     account.tokens = std::min(account.tokens, account.total.burst);
@@ -99,31 +99,32 @@
   divide_due_ = now;
 }
 
-QuotaLedger::Standing QuotaLedger::TakeShares(Router& router, const traffic::QuotaReport& report,
-                                              Instant now) {
+QuotaLedger::ShareSetStatus QuotaLedger::TakeShares(Router& router,
+                                                    const traffic::QuotaReport& report,
+                                                    Instant now) {
   if (report.number == router.newest.number) {
-    router.told = router.newest;
-    return Standing::kKnown;
+    router.acknowledged = router.newest;
+    return ShareSetStatus::kKnown;
   }
-  if (report.number == router.told.number) return Standing::kKnown;
+  if (report.number == router.acknowledged.number) return ShareSetStatus::kKnown;
   // A router that has started anew; what its last life may use stays reserved, and is its own.
-  if (report.number == 0) return Standing::kNone;
-  if (report.number < router.told.number) return Standing::kLate;
-  if (!Inherits(now)) {
+  if (report.number == 0) return ShareSetStatus::kNone;
+  if (report.number < router.acknowledged.number) return ShareSetStatus::kLate;
+  if (!MayHaveInheritedLeases(now)) {
     // Its lease is over: this leader has not renewed it, and earlier ones are gone for longer.
-    router.told = {report.number, {}};
+    router.acknowledged = {report.number, {}};
     router.newest = {std::max(first_number_, report.number + 1), {}};
-    return Standing::kNone;
+    return ShareSetStatus::kNone;
   }
-  if (!report.tells_shares) return Standing::kUnknown;
+  if (!report.tells_shares) return ShareSetStatus::kUnknown;
   // Given by an earlier leader.
-  Sent held;
+  ShareSet held;
   held.number = report.number;
   for (const traffic::QuotaShare& share : report.shares) {
     held.parts[share.tenant] = {std::max(0.0, share.rate_per_second), std::max(0.0, share.burst)};
   }
-  router.told = router.newest = std::move(held);
-  return Standing::kKnown;
+  router.acknowledged = router.newest = std::move(held);
+  return ShareSetStatus::kKnown;
 }
 
 void QuotaLedger::TakeDemand(Router& router, const traffic::QuotaReport& report, Instant now) {
@@ -142,7 +143,7 @@
   }
   // A silence that chance does not explain: the tenant's requests go elsewhere now.
   std::erase_if(router.demand, [&](const auto& entry) {
-    return ToSeconds(now - entry.second.newest) * entry.second.rate > kSilenceInRequests ||
+    return ToSeconds(now - entry.second.newest) * entry.second.rate > kMissingRequestsMaximum ||
            entry.second.rate < kDemandForgotten;
   });
 }
@@ -162,13 +163,13 @@
   traffic::QuotaGrant grant;
   if (accounts_.empty() && report.number == 0) return grant;
   Router& router = routers_[id];
-  const Standing standing = TakeShares(router, report, now);
+  const ShareSetStatus status = TakeShares(router, report, now);
   TakeDemand(router, report, now);
-  grant.asks_for_shares = standing == Standing::kUnknown;
-  if (grant.asks_for_shares || standing == Standing::kLate) return grant;
+  grant.asks_for_shares = status == ShareSetStatus::kUnknown;
+  if (grant.asks_for_shares || status == ShareSetStatus::kLate) return grant;
   Divide(now);
   router.answered = now;
-  if (standing == Standing::kKnown) grant.renewed = report.number;
+  if (status == ShareSetStatus::kKnown) grant.renewed = report.number;
   const auto wanted = wanted_.find(id);
   if (report.number == router.newest.number && wanted != wanted_.end()) {
     const std::uint64_t number = std::max(first_number_, router.newest.number + 1);
@@ -183,9 +184,9 @@
   return grant;
 }
 
-QuotaLedger::Part QuotaLedger::ReservedBy(const Router& router, const TenantName& tenant) {
-  Part reserved;
-  for (const Sent* sent : {&router.told, &router.newest}) {
+QuotaLedger::Share QuotaLedger::ReservedBy(const Router& router, const TenantName& tenant) {
+  Share reserved;
+  for (const ShareSet* sent : {&router.acknowledged, &router.newest}) {
     const auto part = sent->parts.find(tenant);
     if (part == sent->parts.end()) continue;
     reserved.rate = std::max(reserved.rate, part->second.rate);
@@ -194,7 +195,7 @@
   return reserved;
 }
 
-void QuotaLedger::Forget(Instant now) {
+void QuotaLedger::RemoveExpiredRouters(Instant now) {
   const Duration lease = traffic::kQuotaLease + kLeaseSlack;
   std::erase_if(routers_, [&](const auto& entry) {
     return now - entry.second.answered > lease && now - entry.second.polled > lease;
@@ -203,40 +204,41 @@
 
 void QuotaLedger::Divide(Instant now) {
   if (now < divide_due_) return;
-  const auto looks = static_cast<std::int64_t>(accounts_.size() * routers_.size());
-  divide_due_ = now + std::max(kDivideInterval, looks * kTimePerLook);
-  Forget(now);
+  const auto share_evaluations = static_cast<std::int64_t>(accounts_.size() * routers_.size());
+  divide_due_ = now + std::max(kDivideInterval, share_evaluations * kDivideIntervalPerShare);
+  RemoveExpiredRouters(now);
   // What no router was sent is open again.
   wanted_.clear();
-  for (auto& [tenant, account] : accounts_) DivideOne(tenant, account, now);
+  for (auto& [tenant, account] : accounts_) DivideQuota(tenant, account, now);
 }
 
-void QuotaLedger::DivideOne(const TenantName& tenant, Account& account, Instant now) {
-  Fill(account, now);
-  std::vector<Claim> claims = TakeClaims(tenant, account, now);
-  const Part leased = {std::max(account.total.rate * kLeasedRateMinimum,
-                                account.total.rate - account.demand * kPooledDemand),
-                       account.total.burst * kLeasedBurst};
+void QuotaLedger::DivideQuota(const TenantName& tenant, Account& account, Instant now) {
+  RefillTokens(account, now);
+  std::vector<Claim> claims = CollectClaims(tenant, account, now);
+  const Share leased = {std::max(account.total.rate * kLeasedRateMinimum,
+                                 account.total.rate - account.demand * kPooledDemand),
+                        account.total.burst * kLeasedBurst};
   SetWanted(claims, leased, account.demand);
   // A share grows by what nobody may use; a smaller one frees the rest once its router has it.
-  Part free;
-  if (!Inherits(now)) {
+  Share free;
+  if (!MayHaveInheritedLeases(now)) {
     free = {leased.rate - account.reserved.rate, leased.burst - account.reserved.burst};
   }
   for (const Claim& claim : claims) {
     const Router& router = routers_.at(*claim.router);
-    if (router.told.number == router.newest.number) Settle(claim, tenant, account, free);
+    if (router.acknowledged.number == router.newest.number)
+      AdjustShare(claim, tenant, account, free);
   }
 }
 
-std::vector<QuotaLedger::Claim> QuotaLedger::TakeClaims(const TenantName& tenant, Account& account,
-                                                        Instant now) {
+std::vector<QuotaLedger::Claim> QuotaLedger::CollectClaims(const TenantName& tenant,
+                                                           Account& account, Instant now) {
   std::vector<Claim> claims;
   account.demand = 0;
   account.reserved = {};
-  looks_ += routers_.size();
+  share_evaluations_ += routers_.size();
   for (const auto& [id, router] : routers_) {
-    const Part reserved = ReservedBy(router, tenant);
+    const Share reserved = ReservedBy(router, tenant);
     const double asked = LastingDemand(router, tenant, reserved.burst > 0, now);
     account.reserved.rate += reserved.rate;
     account.reserved.burst += reserved.burst;
@@ -250,7 +252,7 @@
   return claims;
 }
 
-void QuotaLedger::SetWanted(std::vector<Claim>& claims, const Part& leased, double demand) {
+void QuotaLedger::SetWanted(std::vector<Claim>& claims, const Share& leased, double demand) {
   double burst_left = leased.burst;
   for (Claim& claim : claims) {
     if (claim.demand <= 0) continue;
@@ -262,21 +264,22 @@
   }
 }
 
-void QuotaLedger::Settle(const Claim& claim, const TenantName& tenant, Account& account,
-                         Part& free) {
-  const Part& held = claim.reserved;
-  Part next;
+void QuotaLedger::AdjustShare(const Claim& claim, const TenantName& tenant, Account& account,
+                              Share& free) {
+  const Share& held = claim.reserved;
+  Share next;
   next.rate = std::min(claim.wanted.rate, held.rate + std::max(0.0, free.rate));
   next.burst = std::min(claim.wanted.burst, held.burst + std::max(0.0, free.burst));
   if (next.burst < kBurstMinimum || next.rate <= 0) next = {};
-  if (!IsWorthTelling(held.rate, next.rate) && !IsWorthTelling(held.burst, next.burst)) return;
-  const Part more = {std::max(0.0, next.rate - held.rate), std::max(0.0, next.burst - held.burst)};
+  if (!IsSignificantChange(held.rate, next.rate) && !IsSignificantChange(held.burst, next.burst))
+    return;
+  const Share more = {std::max(0.0, next.rate - held.rate), std::max(0.0, next.burst - held.burst)};
   free.rate -= more.rate;
   free.burst -= more.burst;
   // Reserved from now on, though its router hears of it with its next poll.
   account.reserved.rate += more.rate;
   account.reserved.burst += more.burst;
-  const Sent& newest = routers_.at(*claim.router).newest;
+  const ShareSet& newest = routers_.at(*claim.router).newest;
   auto& wanted = wanted_.try_emplace(*claim.router, newest.parts).first->second;
   if (next.burst == 0) {
     wanted.erase(tenant);
@@ -285,7 +288,7 @@
   }
 }
 
-void QuotaLedger::NoteUsedUp(const TenantName& tenant, Account& account, Instant now) {
+void QuotaLedger::NoteExhausted(const TenantName& tenant, Account& account, Instant now) {
   if (now < account.note_due) return;
   account.note_due = now + kNoteInterval;
   const auto text = [](double number) {
@@ -307,11 +310,11 @@
   return std::max(0.0, account.total.burst - account.reserved.burst);
 }
 
-void QuotaLedger::Fill(Account& account, Instant now) {
+void QuotaLedger::RefillTokens(Account& account, Instant now) {
   const double free_rate =
-      Inherits(now) ? 0 : std::max(0.0, account.total.rate - account.reserved.rate);
-  const double come = (free_rate + account.token_rate) * ToSeconds(now - account.filled);
-  account.filled = now;
+      MayHaveInheritedLeases(now) ? 0 : std::max(0.0, account.total.rate - account.reserved.rate);
+  const double come = (free_rate + account.token_rate) * ToSeconds(now - account.refilled_at);
+  account.refilled_at = now;
   account.tokens = std::min(account.tokens + come, TokenRoom(account));
 }
 
@@ -327,7 +330,7 @@
     grant.requests = wanted.requests;
     if (found == accounts_.end()) continue;
     Account& account = found->second;
-    Fill(account, now);
+    RefillTokens(account, now);
     grant.requests = std::min(wanted.requests, static_cast<std::uint32_t>(account.tokens));
     account.tokens -= grant.requests;
     if (grant.requests == wanted.requests) continue;
@@ -335,7 +338,7 @@
     constexpr double kMillis = 1'000;
     const double missing = 1.0 - (account.tokens - std::floor(account.tokens));
     grant.retry_after_ms = static_cast<std::int64_t>(std::ceil(kMillis * missing / rate));
-    NoteUsedUp(wanted.tenant, account, now);
+    NoteExhausted(wanted.tenant, account, now);
   }
   return answer;
 }
--- a/src/control/quota_ledger.h
+++ b/src/control/quota_ledger.h
@@ -45,17 +45,17 @@
   std::vector<RolloutNote> TakeNotes() { return std::exchange(notes_, {}); }
 
   /// Shares looked at so far, each as often as it was: what dividing costs.
-  std::uint64_t looks() const { return looks_; }
+  std::uint64_t share_evaluations() const { return share_evaluations_; }
 
  private:
-  struct Part {
+  struct Share {
     double rate = 0;
     double burst = 0;
   };
   /// A set of shares, as sent.
-  struct Sent {
+  struct ShareSet {
     std::uint64_t number = 0;
-    std::map<traffic::TenantName, Part> parts;
+    std::map<traffic::TenantName, Share> parts;
   };
   struct Demand {
     double rate = 0;  ///< Requests a second, averaged.
@@ -63,8 +63,8 @@
     Instant newest{};
   };
   struct Router {
-    Sent told;    ///< The router said that it has this one.
-    Sent newest;  ///< Sent since; the same as `told` when there is none on its way.
+    ShareSet acknowledged;  ///< The router said that it has this one.
+    ShareSet newest;  ///< Sent since; the same as `acknowledged` when there is none on its way.
     Instant answered{};
     Instant polled{};
     std::map<traffic::TenantName, Demand> demand;
@@ -72,51 +72,53 @@
   /// What may be given of one tenant's quota.
   struct Account {
     traffic::TenantQuota quota;
-    Part total;             ///< With the part of the overshoot that is given out.
-    Part reserved;          ///< That routers may use by their shares.
+    Share total;            ///< With the part of the overshoot that is given out.
+    Share reserved;         ///< That routers may use by their shares.
     double token_rate = 0;  ///< At which single tokens come.
     double tokens = 0;
-    Instant filled{};
+    Instant refilled_at{};
     double demand = 0;  ///< Requests a second that last, of all routers.
     Instant note_due{};
   };
 
-  bool Inherits(Instant now) const;
+  bool MayHaveInheritedLeases(Instant now) const;
   void SetQuota(Account& account, const traffic::TenantQuota& quota) const;
   /// What a router's set of shares is to this leader.
-  enum class Standing {
+  enum class ShareSetStatus {
     kKnown,    ///< Sent or taken over by it.
     kNone,     ///< The router has nothing that it may use.
     kUnknown,  ///< It must say what it has.
     kLate,     ///< The report was overtaken by a newer one.
   };
-  Standing TakeShares(Router& router, const traffic::QuotaReport& report, Instant now);
+  ShareSetStatus TakeShares(Router& router, const traffic::QuotaReport& report, Instant now);
   /// Requests a second for which a router is to have a share; 0 for none.
   static double LastingDemand(const Router& router, const traffic::TenantName& tenant,
                               bool has_share, Instant now);
   static void TakeDemand(Router& router, const traffic::QuotaReport& report, Instant now);
   /// What a router may use of a tenant's quota, whichever of its sets it goes by.
-  static Part ReservedBy(const Router& router, const traffic::TenantName& tenant);
-  void Forget(Instant now);
+  static Share ReservedBy(const Router& router, const traffic::TenantName& tenant);
+  void RemoveExpiredRouters(Instant now);
   /// Divides all quotas anew, at intervals.
   void Divide(Instant now);
-  void DivideOne(const traffic::TenantName& tenant, Account& account, Instant now);
+  void DivideQuota(const traffic::TenantName& tenant, Account& account, Instant now);
   /// One router's part in the division of one quota.
   struct Claim {
     const RouterId* router;
-    double demand;  ///< Requests a second that last.
-    Part reserved;  ///< That the router may use now.
-    Part wanted;    ///< That it is to have once others use no more of it.
+    double demand;   ///< Requests a second that last.
+    Share reserved;  ///< That the router may use now.
+    Share wanted;    ///< That it is to have once others use no more of it.
   };
   /// Counts what is reserved and asked for, anew.
   /// @return those that ask or have something, the largest first.
-  std::vector<Claim> TakeClaims(const traffic::TenantName& tenant, Account& account, Instant now);
+  std::vector<Claim> CollectClaims(const traffic::TenantName& tenant, Account& account,
+                                   Instant now);
   /// Divides what is leased in all by demand.
-  static void SetWanted(std::vector<Claim>& claims, const Part& leased, double demand);
+  static void SetWanted(std::vector<Claim>& claims, const Share& leased, double demand);
   /// Moves a share towards what is wanted, by no more than is free.
-  void Settle(const Claim& claim, const traffic::TenantName& tenant, Account& account, Part& free);
-  void Fill(Account& account, Instant now);
-  void NoteUsedUp(const traffic::TenantName& tenant, Account& account, Instant now);
+  void AdjustShare(const Claim& claim, const traffic::TenantName& tenant, Account& account,
+                   Share& free);
+  void RefillTokens(Account& account, Instant now);
+  void NoteExhausted(const traffic::TenantName& tenant, Account& account, Instant now);
   double TokenRoom(const Account& account) const;
 
   const QuotaOptions options_;
@@ -126,10 +128,10 @@
   std::map<traffic::TenantName, Account> accounts_;
   std::map<RouterId, Router> routers_;
   /// What each router is to have next, by router and tenant.
-  std::map<RouterId, std::map<traffic::TenantName, Part>> wanted_;
+  std::map<RouterId, std::map<traffic::TenantName, Share>> wanted_;
   Instant divide_due_{};
   std::vector<RolloutNote> notes_;
-  std::uint64_t looks_ = 0;
+  std::uint64_t share_evaluations_ = 0;
 };
 
 }  // namespace graniteseam::control
--- a/src/control/range_balancer.cc
+++ b/src/control/range_balancer.cc
@@ -10,8 +10,8 @@
 
 constexpr Duration kWindow{250'000};
 /// Weights of the newest window in the slow mean and in the fast one.
-constexpr float kNewest = 0.1F;
-constexpr float kNewestOfFast = 0.5F;
+constexpr float kSlowMeanWeight = 0.1F;
+constexpr float kFastMeanWeight = 0.5F;
 /// Requests a second of one key, or of a block of keys, that count by the fast mean.
 constexpr float kHotRate = 6.0F;
 /// Neighbours that are looked at together: a fifth of the narrowest share of 300 owners.
@@ -30,13 +30,13 @@
 /// A move needs an owner that carries so many times the mean of all.
 constexpr double kOverloaded = 1.25;
 /// And a gain of at least this part of the mean.
-constexpr double kWorthwhile = 0.1;
-constexpr Duration kLookInterval{250'000};
+constexpr double kGainMinimum = 0.1;
+constexpr Duration kRebalanceInterval{250'000};
 /// A hot key that moves is served by nobody for a second: not again before its faster owner made
 /// up for that several times, however the measured speeds change meanwhile.
-constexpr Duration kHotKeyRest{8'000'000};
+constexpr Duration kHotKeyMoveInterval{8'000'000};
 /// By which another candidate must be faster to get a hot key.
-constexpr double kMuchFaster = 1.2;
+constexpr double kHotKeySpeedRatio = 1.2;
 /// Moves that are under way together: so many, or one for this number of candidates when that is
 /// more, since the moves that a shift of load takes grow with the owners. A quarter of 153 owners'
 /// was tried: five times the moves, and more requests that found no owner.
@@ -45,8 +45,8 @@
 /// The same from owners that carry so many times the mean: a crowd came to a few hundred
 /// neighbouring keys, which one owner has. It takes as many moves as owners that share the crowd,
 /// and until they are made its requests stand in one queue.
-constexpr double kCrowded = 2.0;
-constexpr std::size_t kCandidatesPerCrowdMove = 3;
+constexpr double kHotSpotOverload = 2.0;
+constexpr std::size_t kCandidatesPerHotSpotMove = 3;
 /// Up to so many ranges, or so many for each candidate when that is more, moves and losses cut the
 /// keys into further pieces; beyond it, ranges move as a whole. Each range is renewed by a call of
 /// its own and looked at by every decision: without a bound 385 owners' ranges became over 1,250
@@ -58,14 +58,14 @@
 /// so: a heartbeat each 100 ms, and requests that run for some hundred.
 constexpr Duration kReleaseTime{250'000};
 /// A candidate with this part of the most room may be chosen for its earlier heartbeat.
-constexpr double kRoomEnough = 0.6;
+constexpr double kRoomPartMinimum = 0.6;
 
 std::size_t MovesMaximum(const std::vector<RangeCandidate>& candidates) {
   return std::max(kMovesMinimum, candidates.size() / kCandidatesPerMove);
 }
 
-std::size_t CrowdMovesMaximum(const std::vector<RangeCandidate>& candidates) {
-  return std::max(kMovesMinimum, candidates.size() / kCandidatesPerCrowdMove);
+std::size_t HotSpotMovesMaximum(const std::vector<RangeCandidate>& candidates) {
+  return std::max(kMovesMinimum, candidates.size() / kCandidatesPerHotSpotMove);
 }
 
 /// Whether a range is on its way to the owner that a move chose. Spans that are released because
@@ -122,21 +122,21 @@
   if (length < kWindow) return;
   const auto seconds = static_cast<float>(std::chrono::duration<double>(length).count());
   // The first windows count alike: a mean of few is worth more than its newest.
-  const float newest = std::max(kNewest, 1.0F / static_cast<float>(load.windows + 1));
+  const float newest = std::max(kSlowMeanWeight, 1.0F / static_cast<float>(load.windows + 1));
   load.hot.clear();
   for (std::uint32_t key = 0; key <= traffic::kLastKey; ++key) {
     const float seen = load.arrived[key] / seconds;
     load.rate[key] += newest * (seen - load.rate[key]);
-    load.fast_rate[key] += kNewestOfFast * (seen - load.fast_rate[key]);
+    load.fast_rate[key] += kFastMeanWeight * (seen - load.fast_rate[key]);
     load.arrived[key] = 0;
     if (load.fast_rate[key] >= kHotRate) load.hot[key] = load.fast_rate[key];
   }
   load.window_start = now;
   ++load.windows;
-  SumUp(load);
+  ComputePrefixSums(load);
 }
 
-void RangeBalancer::SumUp(ServiceLoad& load) {
+void RangeBalancer::ComputePrefixSums(ServiceLoad& load) {
   for (std::uint32_t block = 0; block <= traffic::kLastKey; block += kBlockKeys) {
     double slow = 0;
     double fast = 0;
@@ -145,10 +145,11 @@
       fast += load.fast_rate[key];
     }
     const double chance = kDeviations * std::sqrt(slow / kFastSeconds);
-    const bool crowded = fast >= kHotRate && fast - slow > chance;
-    const double part = crowded ? (fast - slow) / fast : 0.0;
+    const bool hot_spot = fast >= kHotRate && fast - slow > chance;
+    const double part = hot_spot ? (fast - slow) / fast : 0.0;
     for (std::uint32_t key = block; key < block + kBlockKeys; ++key) {
-      load.before[key + 1] = load.before[key] + load.rate[key] + part * load.fast_rate[key];
+      load.load_before[key + 1] =
+          load.load_before[key] + load.rate[key] + part * load.fast_rate[key];
     }
   }
 }
@@ -162,8 +163,8 @@
   const double sum = kSizeWeight * span.size() / (traffic::kLastKey + 1.0);
   const auto found = loads_.find(service);
   if (found == loads_.end()) return sum;
-  const std::vector<double>& before = found->second.before;
-  return sum + before[span.last + 1] - before[span.first];
+  const std::vector<double>& load_before = found->second.load_before;
+  return sum + load_before[span.last + 1] - load_before[span.first];
 }
 
 RangeBalancer::LoadByOwner RangeBalancer::OwnerLoads(
@@ -208,9 +209,8 @@
   return assignments;
 }
 
-std::vector<RangeCandidate> RangeBalancer::Lightest(const LoadByOwner& loads,
-                                                    const std::vector<RangeCandidate>& candidates,
-                                                    std::size_t count) {
+std::vector<RangeCandidate> RangeBalancer::LeastLoaded(
+    const LoadByOwner& loads, const std::vector<RangeCandidate>& candidates, std::size_t count) {
   std::vector<std::pair<double, std::size_t>> places;  // The load of a slot, and which candidate.
   for (std::size_t index = 0; index < candidates.size(); ++index) {
     const auto found = loads.find(candidates[index].id);
@@ -220,11 +220,11 @@
   const std::size_t taken = std::min(count, places.size());
   std::partial_sort(places.begin(), places.begin() + static_cast<std::ptrdiff_t>(taken),
                     places.end());
-  std::vector<RangeCandidate> lightest;
+  std::vector<RangeCandidate> least_loaded;
   for (std::size_t place = 0; place < taken; ++place) {
-    lightest.push_back(candidates[places[place].second]);
+    least_loaded.push_back(candidates[places[place].second]);
   }
-  return lightest;
+  return least_loaded;
 }
 
 std::optional<traffic::KeySpan> RangeBalancer::PartOf(const traffic::KeyRange& range, double wanted,
@@ -265,16 +265,16 @@
   ServiceLoad& measured = loads_[service];
   CloseWindow(measured, now);
   if (measured.windows == 0 || candidates.size() < 2) return moves;
-  if (now - measured.last_look < kLookInterval) return moves;
-  measured.last_look = now;
+  if (now - measured.last_rebalance < kRebalanceInterval) return moves;
+  measured.last_rebalance = now;
   traffic::KeyRangeTable::Ranges after = ranges;
   for (const traffic::RangeRelease& move : planned) MarkMoved(after, move);
   const auto under_way = static_cast<std::size_t>(std::count_if(
       after.begin(), after.end(), [](const auto& entry) { return IsMoving(entry.second); }));
   LoadByOwner loads = OwnerLoads(service, after);
-  while (moves.size() + under_way < CrowdMovesMaximum(candidates)) {
+  while (moves.size() + under_way < HotSpotMovesMaximum(candidates)) {
     const bool ordinary = moves.size() + under_way < MovesMaximum(candidates);
-    const double overload = ordinary ? kOverloaded : kCrowded;
+    const double overload = ordinary ? kOverloaded : kHotSpotOverload;
     const auto move = NextMove(service, after, candidates, loads, overload, now);
     if (!move) break;
     moves.push_back(*move);
@@ -292,7 +292,7 @@
   for (const auto& [owner, load] : loads) total += load;
   const double mean = total / TotalSlots(candidates);
   if (auto hot = MoveOfHotKey(service, ranges, candidates, mean, now)) {
-    Take(*hot, ranges, loads);
+    ApplyMove(*hot, ranges, loads);
     return hot;
   }
   const auto load_of = [&](const RangeCandidate& candidate) {
@@ -312,7 +312,7 @@
   const Instant released = heaviest->HeartbeatFrom(now) + kReleaseTime;
   const RangeCandidate* next = nullptr;
   for (const RangeCandidate& candidate : candidates) {
-    if (room_of(candidate) < most_room * kRoomEnough) continue;
+    if (room_of(candidate) < most_room * kRoomPartMinimum) continue;
     const bool sooner =
         next == nullptr || candidate.HeartbeatFrom(released) < next->HeartbeatFrom(released);
     const bool same = !sooner && candidate.HeartbeatFrom(released) == next->HeartbeatFrom(released);
@@ -320,9 +320,9 @@
   }
   const double over = (load_of(*heaviest) - mean) * heaviest->slots;
   const double wanted = std::min(over, room_of(*next));
-  if (load_of(*heaviest) < mean * overload || wanted < mean * kWorthwhile) return std::nullopt;
+  if (load_of(*heaviest) < mean * overload || wanted < mean * kGainMinimum) return std::nullopt;
   const double load = load_of(*heaviest) * heaviest->slots;
-  if (over < kMoveDeviations * std::sqrt(load / SecondsSeen(service, now))) return std::nullopt;
+  if (over < kMoveDeviations * std::sqrt(load / ObservedSeconds(service, now))) return std::nullopt;
   const bool may_cut = MayCut(ranges, candidates);
   std::optional<traffic::RangeRelease> best;
   for (const auto& [first, range] : ranges) {
@@ -332,19 +332,19 @@
     best = traffic::RangeRelease{service, *piece, range.fence, next->id};
   }
   if (!best) return std::nullopt;
-  Take(*best, ranges, loads);
+  ApplyMove(*best, ranges, loads);
   return best;
 }
 
-void RangeBalancer::Take(const traffic::RangeRelease& move, traffic::KeyRangeTable::Ranges& ranges,
-                         LoadByOwner& loads) const {
+void RangeBalancer::ApplyMove(const traffic::RangeRelease& move,
+                              traffic::KeyRangeTable::Ranges& ranges, LoadByOwner& loads) const {
   const double load = LoadOf(move.service, move.span);
   loads[std::prev(ranges.upper_bound(move.span.first))->second.owner] -= load;
   loads[move.successor] += load;
   MarkMoved(ranges, move);
 }
 
-double RangeBalancer::SecondsSeen(const ServiceName& service, Instant now) const {
+double RangeBalancer::ObservedSeconds(const ServiceName& service, Instant now) const {
   const auto found = loads_.find(service);
   if (found == loads_.end()) return kFastSeconds;
   const double seen = std::chrono::duration<double>(now - found->second.first_window).count();
@@ -357,7 +357,7 @@
   const auto measured = loads_.find(service);
   if (measured == loads_.end()) return std::nullopt;
   auto& moved = measured->second.hot_moved;
-  std::erase_if(moved, [&](const auto& entry) { return now - entry.second > kHotKeyRest; });
+  std::erase_if(moved, [&](const auto& entry) { return now - entry.second > kHotKeyMoveInterval; });
   const auto fastest =
       std::max_element(candidates.begin(), candidates.end(),
                        [](const auto& a, const auto& b) { return a.slots < b.slots; });
@@ -367,7 +367,7 @@
                                     [&](const auto& one) { return one.id == range.owner; });
     if (owner == candidates.end() || range.phase != traffic::RangePhase::kServing) continue;
     const bool fills_owner = rate > mean * owner->slots;
-    if (!fills_owner || owner->slots * kMuchFaster > fastest->slots) continue;
+    if (!fills_owner || owner->slots * kHotKeySpeedRatio > fastest->slots) continue;
     if (!moved.emplace(key, now).second) continue;
     return traffic::RangeRelease{service, {key, key}, range.fence, fastest->id};
   }
--- a/src/control/range_balancer.h
+++ b/src/control/range_balancer.h
@@ -53,9 +53,9 @@
   std::map<std::uint32_t, float> HotKeys(const ServiceName& service) const;
 
   /// The candidates that carry least, `count` at most.
-  static std::vector<RangeCandidate> Lightest(const LoadByOwner& loads,
-                                              const std::vector<RangeCandidate>& candidates,
-                                              std::size_t count);
+  static std::vector<RangeCandidate> LeastLoaded(const LoadByOwner& loads,
+                                                 const std::vector<RangeCandidate>& candidates,
+                                                 std::size_t count);
 
   /// Moves that even out the load, none when it is even enough.
   /// @param planned moves that are not begun yet; they count as done.
@@ -75,17 +75,17 @@
     std::vector<float> fast_rate = std::vector<float>(traffic::kLastKey + 1, 0.0F);
     std::vector<float> arrived = std::vector<float>(traffic::kLastKey + 1, 0.0F);
     /// What all keys before one get together, by the mean that counts for each; one entry more.
-    std::vector<double> before = std::vector<double>(traffic::kLastKey + 2, 0.0);
+    std::vector<double> load_before = std::vector<double>(traffic::kLastKey + 2, 0.0);
     std::map<std::uint32_t, float> hot;          ///< Keys that alone get much.
     std::map<std::uint32_t, Instant> hot_moved;  ///< When they were last moved to a faster owner.
     Instant window_start{};
     Instant first_window{};
-    Instant last_look{};
+    Instant last_rebalance{};
     int windows = 0;  ///< Closed so far.
   };
 
   static void CloseWindow(ServiceLoad& load, Instant now);
-  static void SumUp(ServiceLoad& load);
+  static void ComputePrefixSums(ServiceLoad& load);
   /// The load of a span, with a share for its mere size, so that cold keys count a little.
   double LoadOf(const ServiceName& service, const traffic::KeySpan& span) const;
   std::optional<traffic::RangeRelease> NextMove(const ServiceName& service,
@@ -93,15 +93,15 @@
                                                 const std::vector<RangeCandidate>& candidates,
                                                 LoadByOwner& loads, double overload, Instant now);
   /// Lets ranges and loads stand as after a move.
-  void Take(const traffic::RangeRelease& move, traffic::KeyRangeTable::Ranges& ranges,
-            LoadByOwner& loads) const;
+  void ApplyMove(const traffic::RangeRelease& move, traffic::KeyRangeTable::Ranges& ranges,
+                 LoadByOwner& loads) const;
   /// Takes a key that alone is more than its owner's share to the fastest candidate.
   std::optional<traffic::RangeRelease> MoveOfHotKey(const ServiceName& service,
                                                     const traffic::KeyRangeTable::Ranges& ranges,
                                                     const std::vector<RangeCandidate>& candidates,
                                                     double mean, Instant now);
   /// Over how much time the load of a service's owners was counted, so that chance can be told.
-  double SecondsSeen(const ServiceName& service, Instant now) const;
+  double ObservedSeconds(const ServiceName& service, Instant now) const;
   /// Keys of a range that carry about `wanted`: all of them, or a piece from its start or end.
   std::optional<traffic::KeySpan> PartOf(const traffic::KeyRange& range, double wanted,
                                          bool may_cut) const;
--- a/src/control/range_controller.cc
+++ b/src/control/range_controller.cc
@@ -14,26 +14,26 @@
 using traffic::RangePhase;
 
 /// How often the state is looked at without an event: liveness and balance change by themselves.
-constexpr Duration kLookInterval{100'000};
+constexpr Duration kDecisionInterval{100'000};
 /// A pass over the fleet is not made again before so much time for each range and instance that it
 /// looked at, whatever happens meanwhile: what came of it is decided together. A look takes half a
 /// microsecond of a core, so that decisions take a twentieth of one at the most, however many
 /// events call for them. Without it, the second in which 126 of 901 instances left took 1.8 s of a
 /// core (scratch measurement of the deciding thread); a pass then follows 22 ms after the one
 /// before, with 33 instances after 1 ms.
-constexpr Duration kTimePerLook{10};
+constexpr Duration kPausePerItem{10};
 /// Orders that go out at once, or this part of all ranges when that is more, and the pause until
 /// the next ones. An order and its answer take 0.2 ms of a core: orders for hundreds of ranges, as
 /// a new leader has, leave most of it to other duties, and all are out within 16 pauses.
 constexpr std::size_t kOrdersAtOnce = 16;
 constexpr Duration kOrdersPause{12'000};
 /// How long the sequence of an instance that is gone is kept: longer than a heartbeat may be late.
-constexpr Duration kHolderKept = 6 * kHeartbeatLateMaximum;
+constexpr Duration kHeartbeatStatusRetention = 6 * kHeartbeatLateMaximum;
 /// Part of an owner's capacity up to which a hot key's requests are let in: somewhat more than all
 /// of it, so that it stays full though they come unevenly.
-constexpr double kFilled = 1.1;
+constexpr double kTargetUtilization = 1.1;
 /// Instances among which the keys of one that is gone are divided.
-constexpr std::size_t kHeirsMaximum = 3;
+constexpr std::size_t kSuccessorsMaximum = 3;
 /// An owner that names a limit is to carry this part of it: what comes by chance beyond the mean
 /// still finds tokens.
 constexpr double kOwnedPartOfLimit = 0.6;
@@ -43,7 +43,7 @@
 
 /// A part of a span for one of many: neighbours get parts that lie apart, and many are spread
 /// evenly.
-Duration PartOf(Duration span, std::size_t number) {
+Duration StaggeredPart(Duration span, std::size_t number) {
   constexpr std::size_t kParts = 16;
   constexpr std::size_t kStep = 7;  // Has no divisor in common with the parts.
   return span * static_cast<std::int64_t>(1 + number * kStep % kParts) / kParts;
@@ -67,7 +67,7 @@
       last_number_(last_used) {
   // Former leaders may have granted anything up to the end of their leases, which ended before this
   // election.
-  FollowForms(now);
+  UpdateLeaseForms(now);
   for (const auto& [service, ranges] : state_.ranges().services()) {
     const bool by_heartbeat = LeasedByHeartbeat(service);
     const Duration length = by_heartbeat ? options_.lease_length : options_.hold;
@@ -120,32 +120,32 @@
 /// Keeps what is known of ranges that are still the same; what was cut or joined begins anew with
 /// an order at once, which is harmless.
 void RangeController::FollowRanges(Instant now) {
-  CountLooks(care_.size());
-  std::map<RangeKey, RangeCare> followed;
+  AddEvaluations(range_status_.size());
+  std::map<RangeKey, RangeStatus> followed;
   for (const auto& [service, ranges] : state_.ranges().services()) {
     for (const auto& [first, range] : ranges) {
-      const auto known = care_.find({service, first});
-      const bool same = known != care_.end() && known->second.fence == range.fence &&
+      const auto known = range_status_.find({service, first});
+      const bool same = known != range_status_.end() && known->second.fence == range.fence &&
                         known->second.last == range.span.last;
       if (same) {
         followed.emplace(known->first, std::move(known->second));
       } else {
-        RangeCare& care = followed[{service, first}];
-        care.fence = range.fence;
-        care.last = range.span.last;
-        care.since = now;
+        RangeStatus& status = followed[{service, first}];
+        status.fence = range.fence;
+        status.last = range.span.last;
+        status.since = now;
         // A piece of a range whose grant stands need not be renewed before its time. A new leader
         // renews all within that time, one after the other.
         const bool stands = range.phase == RangePhase::kServing;
         const Duration within = options_.renewal_interval / 4;
-        care.next_order = stands ? now + PartOf(within, followed.size()) : now;
-        const RangeCare* const whole = CareBefore({service, first}, range.fence);
-        care.refused = whole != nullptr && whole->refused;
-        care.leased = whole != nullptr && whole->leased;
+        status.next_order = stands ? now + StaggeredPart(within, followed.size()) : now;
+        const RangeStatus* const whole = PreviousStatus({service, first}, range.fence);
+        status.refused = whole != nullptr && whole->refused;
+        status.leased = whole != nullptr && whole->leased;
       }
     }
   }
-  care_ = std::move(followed);
+  range_status_ = std::move(followed);
   followed_version_ = state_.ranges().changed_at();
   for (auto& [instance, ends] : grant_ends_) {
     std::erase_if(ends, [&](const GrantEnd& known) { return known.end < now; });
@@ -153,25 +153,25 @@
   std::erase_if(grant_ends_, [](const auto& entry) { return entry.second.empty(); });
   std::erase_if(replaced_,
                 [&](const auto& entry) { return state_.instances().Find(entry.first) == nullptr; });
-  std::erase_if(holders_, [&](const auto& entry) {
+  std::erase_if(heartbeat_status_, [&](const auto& entry) {
     const traffic::Instance* const instance = state_.instances().Find(entry.first);
     const bool gone = instance == nullptr || instance->Gone();
-    return gone && now - entry.second.heard > kHolderKept;
+    return gone && now - entry.second.last_heartbeat > kHeartbeatStatusRetention;
   });
 }
 
-const RangeController::RangeCare* RangeController::CareBefore(const RangeKey& key,
-                                                              traffic::Fence fence) const {
-  const auto after = care_.upper_bound(key);
-  if (after == care_.begin()) return nullptr;
-  const auto& [whole, care] = *std::prev(after);
-  const bool held = whole.service == key.service && key.first <= care.last;
-  return held && care.fence == fence ? &care : nullptr;
+const RangeController::RangeStatus* RangeController::PreviousStatus(const RangeKey& key,
+                                                                    traffic::Fence fence) const {
+  const auto after = range_status_.upper_bound(key);
+  if (after == range_status_.begin()) return nullptr;
+  const auto& [whole, status] = *std::prev(after);
+  const bool held = whole.service == key.service && key.first <= status.last;
+  return held && status.fence == fence ? &status : nullptr;
 }
 
-RangeController::RangeCare* RangeController::CareOf(const OpenOrder& open) {
-  const auto found = care_.find({open.service, open.order.span.first});
-  if (found == care_.end() || found->second.open_order != open.order.number) return nullptr;
+RangeController::RangeStatus* RangeController::StatusOf(const OpenOrder& open) {
+  const auto found = range_status_.find({open.service, open.order.span.first});
+  if (found == range_status_.end() || found->second.open_order != open.order.number) return nullptr;
   return &found->second;
 }
 
@@ -194,26 +194,27 @@
   } else {
     failing_since_.emplace(open.order.instance, now);
   }
-  RangeCare* const care = CareOf(open);
+  RangeStatus* const status = StatusOf(open);
   // A renewal that went well gives nothing new to decide: the most common result by far.
-  const bool plain_renewal = grant && done && care != nullptr && care->confirmed;
+  const bool plain_renewal = grant && done && status != nullptr && status->confirmed;
   if (!plain_renewal) decide_due_ = orders_due_ = now;
-  if (care == nullptr) return;
-  care->open_order.reset();
+  if (status == nullptr) return;
+  status->open_order.reset();
   if (!done) {
-    care->next_order = now + options_.retry_interval;
-    care->refused = care->refused || (refused && grant);
+    status->next_order = now + options_.retry_interval;
+    status->refused = status->refused || (refused && grant);
   } else if (grant) {
     // What was given or taken over together is not renewed together for good: 385 renewals at the
     // same instant take a fifth of a second with a third of a core, as long as a leader lease.
     const Duration first = options_.renewal_interval / 2;
-    care->next_order = now + (care->confirmed ? options_.renewal_interval
-                                              : first + PartOf(first, result.number.value));
-    care->confirmed = true;
-    orders_due_ = std::min(orders_due_, care->next_order);
+    status->next_order =
+        now + (status->confirmed ? options_.renewal_interval
+                                 : first + StaggeredPart(first, result.number.value));
+    status->confirmed = true;
+    orders_due_ = std::min(orders_due_, status->next_order);
   } else {
-    care->released = true;
-    care->handover = result.handover;
+    status->released = true;
+    status->handover = result.handover;
   }
 }
 
@@ -238,14 +239,14 @@
       // On its way to another owner, a key is waited for.
       if (range == nullptr || range->phase != RangePhase::kServing) continue;
       const auto capacity = CapacityOf(*range);
-      if (!capacity || rate <= *capacity * kFilled) continue;
-      hot.push_back({service, key, *capacity * kFilled / rate});
+      if (!capacity || rate <= *capacity * kTargetUtilization) continue;
+      hot.push_back({service, key, *capacity * kTargetUtilization / rate});
     }
   }
   return hot;
 }
 
-void RangeController::NoteTold(const traffic::HotKey& hot) {
+void RangeController::RecordHotKeySent(const traffic::HotKey& hot) {
   const KeyRange* const range = state_.ranges().Find(hot.service, hot.key);
   if (range == nullptr) return;
   const bool over = hot.admitted >= 1;
@@ -253,14 +254,15 @@
        over ? "over" : "admitted " + std::to_string(hot.admitted) + " of its requests");
 }
 
-bool RangeController::OwnerIsOver(const KeyRange& range, const RangeCare& care, Instant now) const {
-  if (range.phase == RangePhase::kUnowned || care.released) return true;
+bool RangeController::CanReassign(const KeyRange& range, const RangeStatus& status,
+                                  Instant now) const {
+  if (range.phase == RangePhase::kUnowned || status.released) return true;
   if (HasEnded(range.owner)) return true;
-  if (care.open_order || now <= GrantEndOf(range) || GrantUnderWay(range)) return false;
+  if (status.open_order || now <= GrantEndOf(range) || GrantUnderWay(range)) return false;
   // Without an answer for the length of a lease, the owner holds nothing more.
-  if (LeasedByHeartbeat(range.service)) return !AwaitsFirstLease(range, care, now);
+  if (LeasedByHeartbeat(range.service)) return !AwaitsFirstLease(range, status, now);
   // An owner that only missed renewals gets its keys again by the next one.
-  return !range.Owned() || care.refused || Unresponsive(range.owner, now);
+  return !range.Owned() || status.refused || Unresponsive(range.owner, now);
 }
 
 void RangeController::Note(std::string_view what, const KeyRange& range,
@@ -268,10 +270,11 @@
   notes_.push_back({what, range.service, span, range.fence, range.owner, std::move(inputs)});
 }
 
-std::string RangeController::WhyOver(const KeyRange& range, const RangeCare& care) const {
+std::string RangeController::ReassignmentReason(const KeyRange& range,
+                                                const RangeStatus& status) const {
   if (range.phase == RangePhase::kUnowned) return "nobody owns them";
-  if (care.released) return care.handover.empty() ? "released" : "released with a handover";
-  if (care.refused) return "the fence was refused";
+  if (status.released) return status.handover.empty() ? "released" : "released with a handover";
+  if (status.refused) return "the fence was refused";
   if (replaced_.contains(range.owner)) return "another process answered at its address";
   const bool displaced = EndIsProven(state_.instances(), liveness_, range.owner);
   return displaced ? "another instance reported from its address" : "the last lease ran out";
@@ -286,23 +289,23 @@
 
 std::vector<CommandBody> RangeController::Decide(Instant now) {
   if (now < NextDecision()) return {};
-  const std::uint64_t looks_before = looks_;
+  const std::uint64_t evaluations_before = evaluations_;
   decided_version_ = state_.version();
-  CountLooks(care_.size());
-  FollowForms(now);
+  AddEvaluations(range_status_.size());
+  UpdateLeaseForms(now);
   if (followed_version_ != state_.ranges().changed_at()) FollowRanges(now);
   views_.clear();
   std::vector<CommandBody> commands;
   DecideConfirmations(commands);
   DecideReleases(now, commands);
   DecideAssignments(now, commands);
-  decide_due_ = now + kLookInterval;
-  decide_not_before_ = now + PauseAfter(looks_ - looks_before);
+  decide_due_ = now + kDecisionInterval;
+  decide_not_before_ = now + PauseAfter(evaluations_ - evaluations_before);
   return commands;
 }
 
-Duration RangeController::PauseAfter(std::uint64_t looks) {
-  return static_cast<std::int64_t>(looks) * kTimePerLook;
+Duration RangeController::PauseAfter(std::uint64_t evaluations) {
+  return static_cast<std::int64_t>(evaluations) * kPausePerItem;
 }
 
 Instant RangeController::NextDecision() const {
@@ -312,9 +315,9 @@
 
 void RangeController::DecideConfirmations(std::vector<CommandBody>& commands) const {
   ConfirmRangesCommand command;
-  for (const auto& [key, care] : care_) {
+  for (const auto& [key, status] : range_status_) {
     const KeyRange* range = state_.ranges().Find(key.service, key.first);
-    if (range == nullptr || range->phase != RangePhase::kGranting || !care.confirmed) continue;
+    if (range == nullptr || range->phase != RangePhase::kGranting || !status.confirmed) continue;
     command.confirmations.push_back({key.service, range->span, range->fence});
   }
   if (!command.confirmations.empty()) commands.emplace_back(std::move(command));
@@ -332,7 +335,7 @@
 
 std::vector<RangeCandidate> RangeController::CandidatesFor(
     const ServiceName& service, const std::set<traffic::InstanceId>& avoided, Instant now) const {
-  CountLooks(InstanceCount());
+  AddEvaluations(InstanceCount());
   std::vector<RangeCandidate> candidates;
   std::vector<RangeCandidate> warming_up;
   const bool by_heartbeat = LeasedByHeartbeat(service);
@@ -340,7 +343,7 @@
     const bool fits = instance.report.service == service && instance.TakesNewWork();
     if (!fits || liveness_.Silent(id, now) || Unresponsive(id, now)) continue;
     if (avoided.contains(id) || HasEnded(id)) continue;
-    if (by_heartbeat && !HeardLately(id, now)) continue;
+    if (by_heartbeat && !SentHeartbeatRecently(id, now)) continue;
     const double slots = static_cast<double>(std::max<std::int64_t>(1, instance.report.slots));
     const bool spared = options_.spares_warming_up && instance.WarmsUp();
     RangeCandidate& candidate = (spared ? warming_up : candidates).emplace_back();
@@ -348,9 +351,9 @@
     candidate.zone = instance.report.zone;
     candidate.slots = slots;
     if (!by_heartbeat) continue;
-    const Holder& holder = holders_.at(id);
-    candidate.next_heartbeat = holder.heard + holder.interval;
-    candidate.heartbeat_interval = holder.interval;
+    const HeartbeatStatus& heartbeat_status = heartbeat_status_.at(id);
+    candidate.next_heartbeat = heartbeat_status.last_heartbeat + heartbeat_status.interval;
+    candidate.heartbeat_interval = heartbeat_status.interval;
   }
   if (candidates.empty()) candidates = std::move(warming_up);
   speeds_.Scale(candidates);
@@ -408,20 +411,21 @@
     const auto& candidates = ViewOf(service, now).candidates;
     if (candidates.empty()) continue;
     auto loads = balancer_.OwnerLoads(service, ranges);
-    CountLooks(ranges.size());
+    AddEvaluations(ranges.size());
     for (const auto& [first, range] : ranges) {
-      RangeCare& care = care_.at({service, first});
+      RangeStatus& status = range_status_.at({service, first});
       // An owner that refused may still hold a part by an older grant: only to itself may the keys
       // go again at once.
-      const bool back_to_owner = care.refused && Contains(candidates, range.owner);
-      if (!back_to_owner && !OwnerIsOver(range, care, now)) continue;
+      const bool back_to_owner = status.refused && Contains(candidates, range.owner);
+      if (!back_to_owner && !CanReassign(range, status, now)) continue;
       // Nobody ever had these keys: wait until the servers are all there.
       if (range.fence.value == 0 && !Settled(service, candidates, now)) continue;
       const bool may_cut = RangeBalancer::MayCut(ranges, candidates);
-      auto parts = NextOwners(range, care, candidates, may_cut ? kHeirsMaximum : 1, loads);
-      care.given_away = !parts.empty();
+      auto parts = NextOwners(range, status, candidates, may_cut ? kSuccessorsMaximum : 1, loads);
+      status.reassigned = !parts.empty();
       for (const traffic::RangeAssignment& part : parts) {
-        Note("assign", range, part.span, WhyOver(range, care) + ", next " + part.owner.value);
+        Note("assign", range, part.span,
+             ReassignmentReason(range, status) + ", next " + part.owner.value);
       }
       std::move(parts.begin(), parts.end(), std::back_inserter(command.assignments));
     }
@@ -430,57 +434,58 @@
 }
 
 std::vector<traffic::RangeAssignment> RangeController::NextOwners(
-    const KeyRange& range, const RangeCare& care, const std::vector<RangeCandidate>& candidates,
-    std::size_t heirs, RangeBalancer::LoadByOwner& loads) const {
-  const traffic::InstanceId& wanted = care.refused ? range.owner : range.successor;
+    const KeyRange& range, const RangeStatus& status, const std::vector<RangeCandidate>& candidates,
+    std::size_t successors_maximum, RangeBalancer::LoadByOwner& loads) const {
+  const traffic::InstanceId& wanted = status.refused ? range.owner : range.successor;
   if (Contains(candidates, wanted))
-    return {{range.service, range.span, range.fence, wanted, care.handover}};
-  CountLooks(candidates.size());
+    return {{range.service, range.span, range.fence, wanted, status.handover}};
+  AddEvaluations(candidates.size());
   const bool first_time = range.fence.value == 0;
   auto parts = balancer_.Divide(
-      range, loads, first_time ? candidates : RangeBalancer::Lightest(loads, candidates, heirs));
-  for (traffic::RangeAssignment& part : parts) part.handover = care.handover;
+      range, loads,
+      first_time ? candidates : RangeBalancer::LeastLoaded(loads, candidates, successors_maximum));
+  for (traffic::RangeAssignment& part : parts) part.handover = status.handover;
   return parts;
 }
 
 std::vector<RangeOrder> RangeController::Orders(Instant now) {
   if (now < NextOrderDue()) return {};
   ordered_version_ = state_.version();
-  FollowForms(now);
+  UpdateLeaseForms(now);
   if (followed_version_ != state_.ranges().changed_at()) FollowRanges(now);
-  orders_due_ = now + kLookInterval;
-  CountLooks(care_.size());
-  const std::size_t at_once = std::max(kOrdersAtOnce, care_.size() / kOrdersAtOnce);
+  orders_due_ = now + kDecisionInterval;
+  AddEvaluations(range_status_.size());
+  const std::size_t at_once = std::max(kOrdersAtOnce, range_status_.size() / kOrdersAtOnce);
   std::vector<RangeOrder> orders;
-  for (auto& [key, care] : care_) {
+  for (auto& [key, status] : range_status_) {
     const KeyRange* range = state_.ranges().Find(key.service, key.first);
-    if (range == nullptr || care.open_order) continue;
-    if (now < care.next_order) {
-      orders_due_ = std::min(orders_due_, care.next_order);
+    if (range == nullptr || status.open_order) continue;
+    if (now < status.next_order) {
+      orders_due_ = std::min(orders_due_, status.next_order);
       continue;
     }
     if (orders.size() >= at_once) {
       orders_due_ = now;
       break;
     }
-    std::optional<RangeOrder> order = NextOrder(*range, care, now);
+    std::optional<RangeOrder> order = NextOrder(*range, status, now);
     if (!order) continue;
-    care.open_order = order->number;
+    status.open_order = order->number;
     open_[order->number] = {*order, key.service};
     orders.push_back(std::move(*order));
   }
   const Duration pause = orders.size() >= at_once ? kOrdersPause : Duration::zero();
-  orders_not_before_ = now + std::max(PauseAfter(care_.size()), pause);
+  orders_not_before_ = now + std::max(PauseAfter(range_status_.size()), pause);
   return orders;
 }
 
-std::optional<RangeOrder> RangeController::NextOrder(const KeyRange& range, RangeCare& care,
+std::optional<RangeOrder> RangeController::NextOrder(const KeyRange& range, RangeStatus& status,
                                                      Instant now) {
-  if (LeasedByHeartbeat(range.service) || InQuietTime(range.service, now)) return std::nullopt;
-  if (care.given_away) return std::nullopt;
+  if (LeasedByHeartbeat(range.service) || InFormTransition(range.service, now)) return std::nullopt;
+  if (status.reassigned) return std::nullopt;
   const traffic::Instance* owner = state_.instances().Find(range.owner);
   const bool ended = owner == nullptr || HasEnded(range.owner);
-  if (range.phase == RangePhase::kUnowned || ended || care.released) return std::nullopt;
+  if (range.phase == RangePhase::kUnowned || ended || status.released) return std::nullopt;
   // A displaced owner gets no grant. It is asked to release once that is decided: its answer, or
   // another process's, tells whether it lives.
   if (range.Owned() && owner->state == InstanceState::kDisplaced) return std::nullopt;
@@ -494,7 +499,7 @@
     order.limit = options_.release_limit;
   } else {
     // The same fence would be refused again: the range waits for its next assignment.
-    if (care.refused) return std::nullopt;
+    if (status.refused) return std::nullopt;
     // Each grant that may have arrived puts off the end of what the owner may hold, so that one
     // that seems gone gets no more.
     if (Unresponsive(range.owner, now)) return std::nullopt;
--- a/src/control/range_controller.h
+++ b/src/control/range_controller.h
@@ -65,7 +65,7 @@
   /// Keys that are asked for more often than their owners can answer.
   std::vector<traffic::HotKey> HotKeys() const;
   /// Notes that routers are told of a hot key.
-  void NoteTold(const traffic::HotKey& hot);
+  void RecordHotKeySent(const traffic::HotKey& hot);
 
   /// What was decided and believed since the last call.
   std::vector<RangeNote> TakeNotes() { return std::exchange(notes_, {}); }
@@ -77,7 +77,7 @@
 
   /// Ranges and instances that decisions looked at so far, each as often as it was: what they cost,
   /// in a unit that does not depend on the machine (half a microsecond each, measured).
-  std::uint64_t looks() const { return looks_; }
+  std::uint64_t evaluations() const { return evaluations_; }
 
  private:
   /// Until when a grant that was sent may be held.
@@ -96,7 +96,7 @@
     std::uint32_t first = 0;
     auto operator<=>(const RangeKey&) const = default;
   };
-  struct RangeCare {
+  struct RangeStatus {
     traffic::Fence fence;  ///< For which the rest holds.
     std::uint32_t last = 0;
     Instant next_order{};
@@ -109,9 +109,9 @@
     Instant since{};  ///< When this began.
     /// A next owner was proposed. Until that is committed the state still names the last one, which
     /// must get no lease any more: it may be heard of again just then.
-    bool given_away = false;
-    bool leased = false;  ///< By heartbeat: an answer of this leadership gave the range.
-    int unheeded = 0;     ///< Heartbeats in a row that do not tell of it although it was leased.
+    bool reassigned = false;
+    bool leased = false;     ///< By heartbeat: an answer of this leadership gave the range.
+    int missed_reports = 0;  ///< Heartbeats in a row that do not tell of it although it was leased.
   };
 
   /// Keys that all answers to an instance's heartbeats left out since `sequence`.
@@ -121,9 +121,9 @@
     Instant at;
   };
   /// What is known of an instance by its heartbeats.
-  struct Holder {
+  struct HeartbeatStatus {
     std::int64_t sequence = 0;  ///< Of the newest heartbeat that was taken.
-    Instant heard{};
+    Instant last_heartbeat{};
     Duration interval{};  ///< Between its heartbeats, but for those that tell of a release.
     std::vector<Omission> omissions;
   };
@@ -136,10 +136,10 @@
 
   void FollowRanges(Instant now);
   /// What is known of the range that held `key` under the same fence, null when there was none.
-  const RangeCare* CareBefore(const RangeKey& key, traffic::Fence fence) const;
-  RangeCare* CareOf(const OpenOrder& open);
+  const RangeStatus* PreviousStatus(const RangeKey& key, traffic::Fence fence) const;
+  RangeStatus* StatusOf(const OpenOrder& open);
   /// Whether nobody but a new owner can act for the range's keys any more.
-  bool OwnerIsOver(const traffic::KeyRange& range, const RangeCare& care, Instant now) const;
+  bool CanReassign(const traffic::KeyRange& range, const RangeStatus& status, Instant now) const;
   Instant GrantEndOf(const traffic::KeyRange& range) const;
   /// Whether a grant of keys of the range to its owner has no result yet.
   bool GrantUnderWay(const traffic::KeyRange& range) const;
@@ -147,14 +147,14 @@
                  const traffic::KeySpan& span, Instant end);
   /// When a grant is over for certain on its owner's clock.
   Instant EndOfGrant(Duration length, Instant received) const;
-  bool OwnerMustGo(const traffic::KeyRange& range) const;
+  bool MustRelease(const traffic::KeyRange& range) const;
   /// Whether an instance's process has ended for certain.
   bool HasEnded(const traffic::InstanceId& instance) const;
 
   void Note(std::string_view what, const traffic::KeyRange& range, const traffic::KeySpan& span,
             std::string inputs);
   /// Why the keys of a range may be given to somebody else.
-  std::string WhyOver(const traffic::KeyRange& range, const RangeCare& care) const;
+  std::string ReassignmentReason(const traffic::KeyRange& range, const RangeStatus& status) const;
   void DecideConfirmations(std::vector<CommandBody>& commands) const;
   void DecideReleases(Instant now, std::vector<CommandBody>& commands);
   bool InDrainedZone(const traffic::InstanceId& owner) const;
@@ -166,9 +166,9 @@
   bool Settled(const ServiceName& service, const std::vector<RangeCandidate>& candidates,
                Instant now);
   std::vector<traffic::RangeAssignment> NextOwners(const traffic::KeyRange& range,
-                                                   const RangeCare& care,
+                                                   const RangeStatus& status,
                                                    const std::vector<RangeCandidate>& candidates,
-                                                   std::size_t heirs,
+                                                   std::size_t successors_maximum,
                                                    RangeBalancer::LoadByOwner& loads) const;
 
   /// Requests a second that the owner of a range can run; nullopt when it is not known.
@@ -189,42 +189,46 @@
   std::set<traffic::InstanceId> AvoidedInstances(const ServiceName& service, Instant now) const;
   /// Whether an instance answers neither orders nor sends heartbeats.
   bool Unresponsive(const traffic::InstanceId& instance, Instant now) const;
-  std::optional<RangeOrder> NextOrder(const traffic::KeyRange& range, RangeCare& care, Instant now);
+  std::optional<RangeOrder> NextOrder(const traffic::KeyRange& range, RangeStatus& status,
+                                      Instant now);
 
   // Leases by heartbeat.
   /// Takes the forms of leases from the configuration.
-  void FollowForms(Instant now);
+  void UpdateLeaseForms(Instant now);
   bool LeasedByHeartbeat(const ServiceName& service) const;
   /// Whether leases of a service's former form may still be held: until they are over, none of the
   /// new form is given.
-  bool InQuietTime(const ServiceName& service, Instant now) const;
+  bool InFormTransition(const ServiceName& service, Instant now) const;
   void NoteUnknownKeys(const ReportInstance& heartbeat);
   /// Adds to an answer what it leases of one range, and notes what it leaves out.
-  void Lease(const traffic::KeyRange& range, RangeCare& care, Holder& holder,
+  void Lease(const traffic::KeyRange& range, RangeStatus& status, HeartbeatStatus& heartbeat_status,
              traffic::KeyLeases& leases, Instant now);
   /// Takes what a heartbeat proves about the release of one of its instance's ranges.
-  void TakeRelease(const ReportInstance& heartbeat, const Holder& holder,
-                   const traffic::KeyRange& range, RangeCare& care, Instant now);
+  void TakeRelease(const ReportInstance& heartbeat, const HeartbeatStatus& heartbeat_status,
+                   const traffic::KeyRange& range, RangeStatus& status, Instant now);
   /// Counts the heartbeats that do not tell of a range although earlier answers leased it.
   static void TakeHeldSpans(const traffic::HeldKeys& keys, const traffic::KeyRange& range,
-                            RangeCare& care);
+                            RangeStatus& status);
   /// Parts of a range that may be leased to its owner now; the rest is to be let go.
-  std::vector<traffic::KeySpan> SpansToLease(const traffic::KeyRange& range, const RangeCare& care);
+  std::vector<traffic::KeySpan> SpansToLease(const traffic::KeyRange& range,
+                                             const RangeStatus& status);
   /// @return whether answers gave these keys until now.
-  static bool NoteOmission(Holder& holder, const traffic::KeySpan& span, Instant now);
+  static bool NoteOmission(HeartbeatStatus& heartbeat_status, const traffic::KeySpan& span,
+                           Instant now);
   /// Whether an owner has still to come for keys that no answer leased to it yet.
-  bool AwaitsFirstLease(const traffic::KeyRange& range, const RangeCare& care, Instant now) const;
+  bool AwaitsFirstLease(const traffic::KeyRange& range, const RangeStatus& status,
+                        Instant now) const;
   std::vector<traffic::RangeRelease> PlannedMoves(const ServiceName& service) const;
   /// Adds the moves whose owners were told, and forgets those that fit no more.
   void AddBegunMoves(std::vector<traffic::RangeRelease>& releases);
   /// Whether an instance was heard of so lately that it will come for new keys.
-  bool HeardLately(const traffic::InstanceId& instance, Instant now) const;
+  bool SentHeartbeatRecently(const traffic::InstanceId& instance, Instant now) const;
 
   /// When Decide() has something to decide.
   Instant NextDecision() const;
-  static Duration PauseAfter(std::uint64_t looks);
+  static Duration PauseAfter(std::uint64_t evaluations);
   /// Counts what one pass looks at.
-  void CountLooks(std::size_t items) const { looks_ += items; }
+  void AddEvaluations(std::size_t items) const { evaluations_ += items; }
   std::size_t InstanceCount() const { return state_.instances().instances().size(); }
 
   const RangeOptions options_;
@@ -235,21 +239,22 @@
   const InstanceLimits& limits_;
   RangeBalancer balancer_;
   InstanceSpeeds speeds_;
-  std::map<RangeKey, RangeCare> care_;
+  std::map<RangeKey, RangeStatus> range_status_;
   std::map<traffic::InstanceId, std::vector<GrantEnd>> grant_ends_;
   std::map<OrderNumber, OpenOrder> open_;
   /// Since when an instance left orders unanswered; not there when it answered the last one.
   std::map<traffic::InstanceId, Instant> failing_since_;
   /// Instances in whose place another process answered an order, and when it did.
   std::map<traffic::InstanceId, Instant> replaced_;
-  std::map<traffic::InstanceId, Holder> holders_;  ///< Of instances leased keys by heartbeat.
+  std::map<traffic::InstanceId, HeartbeatStatus>
+      heartbeat_status_;  ///< Of instances leased keys by heartbeat.
   std::vector<PlannedMove> planned_;
   std::map<ServiceName, ServiceView> views_;  ///< Of the pass under way.
-  struct FormCare {
+  struct LeaseFormStatus {
     traffic::LeaseForm form = traffic::LeaseForm::kOrders;
-    Instant quiet_until{};
+    Instant transition_until{};
   };
-  std::map<ServiceName, FormCare> forms_;  ///< A dropped service keeps its last one.
+  std::map<ServiceName, LeaseFormStatus> lease_forms_;  ///< A dropped service keeps its last one.
   std::uint64_t followed_configuration_ = 0;
   OrderNumber last_number_;
   /// When the number of a service's candidates last changed while all its keys are unowned.
@@ -266,7 +271,7 @@
   Instant decide_not_before_{};  ///< Whatever is new.
   Instant orders_due_{};
   Instant orders_not_before_{};
-  mutable std::uint64_t looks_ = 0;  ///< Also of passes that decide nothing.
+  mutable std::uint64_t evaluations_ = 0;  ///< Also of passes that decide nothing.
 };
 
 }  // namespace graniteseam::control
--- a/src/control/range_releases.cc
+++ b/src/control/range_releases.cc
@@ -15,10 +15,10 @@
 
 /// Where more than this part of a service's instances fail, the cause is a common one, and moving
 /// keys would only add load to the rest.
-constexpr double kAvoidedPart = 0.2;
+constexpr double kFailingPartMaximum = 0.2;
 /// The same of instances that asked for rest. More than of those that fail: they say themselves
 /// that they will run nothing, and the others that they would.
-constexpr double kRestingPart = 0.4;
+constexpr double kBackingOffPartMaximum = 0.4;
 /// Key ranges of a drained zone that are released together: so many, or one for this number of
 /// owners elsewhere when that is more. A range is without an owner for about 0.8 s, and the zones'
 /// owners have some three ranges each: a third of the owners are left within 3 s.
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-bool RangeController::OwnerMustGo(const KeyRange& range) const {
+bool RangeController::MustRelease(const KeyRange& range) const {
   const traffic::Instance* owner = state_.instances().Find(range.owner);
   return owner == nullptr || !owner->TakesNewWork();
 }
@@ -51,22 +51,22 @@
 
 std::set<traffic::InstanceId> RangeController::AvoidedInstances(const ServiceName& service,
                                                                 Instant now) const {
-  CountLooks(InstanceCount());
+  AddEvaluations(InstanceCount());
   std::set<traffic::InstanceId> failing;
-  std::set<traffic::InstanceId> resting;
+  std::set<traffic::InstanceId> backing_off;
   std::size_t all = 0;
   for (const auto& [id, instance] : state_.instances().instances()) {
     if (instance.report.service != service || !instance.TakesNewWork()) continue;
     ++all;
     if (speeds_.Failing(id, now)) failing.insert(id);
-    if (limits_.Rests(id, now)) resting.insert(id);
+    if (limits_.Rests(id, now)) backing_off.insert(id);
   }
-  const auto many = [all](const std::set<traffic::InstanceId>& some, double part) {
+  const auto exceeds = [all](const std::set<traffic::InstanceId>& some, double part) {
     return static_cast<double>(some.size()) > part * static_cast<double>(all);
   };
   std::set<traffic::InstanceId> avoided;
-  if (!many(failing, kAvoidedPart)) avoided.merge(failing);
-  if (!many(resting, kRestingPart)) avoided.merge(resting);
+  if (!exceeds(failing, kFailingPartMaximum)) avoided.merge(failing);
+  if (!exceeds(backing_off, kBackingOffPartMaximum)) avoided.merge(backing_off);
   return avoided;
 }
 
@@ -78,7 +78,7 @@
     const auto& avoided = view.avoided;
     std::size_t zone_releases = ZoneReleasesAllowed(ranges, view.candidates);
     for (const auto& [first, range] : ranges) {
-      const bool must_go = OwnerMustGo(range);
+      const bool must_go = MustRelease(range);
       const bool fails = range.phase == RangePhase::kServing && avoided.contains(range.owner);
       if (!range.Owned() || (!must_go && !fails)) continue;
       if (InDrainedZone(range.owner)) {
--- a/src/control/router_census.h
+++ b/src/control/router_registry.h
@@ -12,34 +12,34 @@
 
 /// Places are worked out anew at intervals: a poll of each of a thousand routers must not look at
 /// all of them. Not thread safe; `now` never goes back.
-class RouterCensus {
+class RouterRegistry {
  public:
   /// @param now the start of the leadership: routers take a moment to find it.
-  explicit RouterCensus(Instant now) : start_(now) {}
+  explicit RouterRegistry(Instant now) : start_(now) {}
 
-  void Heard(const RouterId& router, Instant now);
+  void RecordPoll(const RouterId& router, Instant now);
 
   /// Routers that were heard of lately; 0 while a new leader may not have heard of all.
   std::uint32_t Count(Instant now);
   /// A router's place among those, from 0 on, by their ids.
-  std::uint32_t PlaceOf(const RouterId& router, Instant now);
+  std::uint32_t IndexOf(const RouterId& router, Instant now);
 
   /// Routers looked at so far, each as often as it was.
-  std::uint64_t looks() const { return looks_; }
+  std::uint64_t router_evaluations() const { return router_evaluations_; }
 
  private:
   struct Router {
-    Instant heard;
-    std::uint32_t place = 0;
+    Instant last_poll;
+    std::uint32_t index = 0;
   };
 
-  void CountAnew(Instant now);
+  void Recount(Instant now);
 
   const Instant start_;
   std::map<RouterId, Router> routers_;
   std::uint32_t count_ = 0;
   Instant count_due_{};
-  std::uint64_t looks_ = 0;
+  std::uint64_t router_evaluations_ = 0;
 };
 
 }  // namespace graniteseam::control
--- a/src/control/router_sessions.cc
+++ b/src/control/router_sessions.cc
@@ -11,7 +11,7 @@
 namespace {
 
 /// A router not heard of for this many leases is gone.
-constexpr int kForgetAfterLeases = 60;
+constexpr int kRetentionInLeases = 60;
 
 }  // namespace
 
@@ -28,7 +28,7 @@
   CheckMapVersion(connection, renewal, session);
   session.sequence = renewal.sequence;
   session.bundle_version = renewal.bundle_version;
-  session.heard_at = now;
+  session.last_renewal = now;
   Report(renewal, now);
   // The rule that keeps an old bundle from being applied: no lease without the newest.
   session.granted = renewal.bundle_version == state_.bundles().in_force_version();
@@ -135,8 +135,9 @@
 std::vector<ProcessVersion> RouterSessions::Versions(Instant now) const {
   std::vector<ProcessVersion> versions;
   for (const auto& [router, session] : sessions_) {
-    const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - session.heard_at);
-    if (now - session.heard_at > kForgetAfterLeases * router_lease_) continue;
+    const auto age =
+        std::chrono::duration_cast<std::chrono::milliseconds>(now - session.last_renewal);
+    if (now - session.last_renewal > kRetentionInLeases * router_lease_) continue;
     versions.push_back({router.value, "router", session.bundle_version, age.count()});
   }
   return versions;
--- a/src/control/router_sessions.h
+++ b/src/control/router_sessions.h
@@ -46,7 +46,7 @@
     std::uint64_t sent_map_version = 0;      ///< Newest sent over `connection`.
     std::uint64_t answered_map_version = 0;  ///< Sent up to the last answer...
     std::uint64_t expected_map_version = 0;  ///< ...and up to the one before: the router has it.
-    Instant heard_at{};
+    Instant last_renewal{};
   };
 
   void CheckMapVersion(std::uint64_t connection, const RouterRenewal& renewal,
--- a/src/control/shard_assigner.cc
+++ b/src/control/shard_assigner.cc
@@ -10,16 +10,16 @@
 }
 
 TargetChooser::TargetChooser(const ReplicatedState& state, const HealthCheck& healthy,
-                             const PromisedShards& promised, const ServiceName& service) {
+                             const PendingAssignments& pending, const ServiceName& service) {
   for (const auto& [id, record] : state.servers().servers()) {
     if (record.service != service || !record.AcceptsNewWork()) continue;
     if (!healthy(id)) {
       has_unhealthy_ = true;
       continue;
     }
-    const auto more = promised.find(id);
+    const auto more = pending.find(id);
     heap_.push_back(
-        {state.shards().PlannedCount(id) + (more == promised.end() ? 0 : more->second), &id});
+        {state.shards().PlannedCount(id) + (more == pending.end() ? 0 : more->second), &id});
   }
   std::make_heap(heap_.begin(), heap_.end(), Worse);
 }
@@ -39,7 +39,8 @@
 }
 
 TargetChooser& TargetChoosers::For(const ServiceName& service) {
-  return choosers_.try_emplace(service, state_, healthy_, promised_, service).first->second;
+  return choosers_.try_emplace(service, state_, healthy_, pending_assignments_, service)
+      .first->second;
 }
 
 std::vector<placement::Assignment> AssignShardsOf(const ServerId& lost,
--- a/src/control/shard_assigner.h
+++ b/src/control/shard_assigner.h
@@ -19,7 +19,7 @@
 using HealthCheck = std::function<bool(const ServerId&)>;
 
 /// Shards promised to servers by commands that are not applied yet.
-using PromisedShards = std::map<ServerId, std::size_t>;
+using PendingAssignments = std::map<ServerId, std::size_t>;
 
 /// Hands out the servers of one service, the one with the fewest shards first.
 ///
@@ -28,7 +28,7 @@
  public:
   /// Takes the service's servers that accept new work and are healthy.
   TargetChooser(const ReplicatedState& state, const HealthCheck& healthy,
-                const PromisedShards& promised, const ServiceName& service);
+                const PendingAssignments& pending, const ServiceName& service);
 
   /// Chooses the server with the fewest shards and counts one more for it; nullopt without any.
   std::optional<ServerId> Next();
@@ -54,15 +54,15 @@
 class TargetChoosers {
  public:
   TargetChoosers(const ReplicatedState& state, const HealthCheck& healthy,
-                 const PromisedShards& promised)
-      : state_(state), healthy_(healthy), promised_(promised) {}
+                 const PendingAssignments& pending)
+      : state_(state), healthy_(healthy), pending_assignments_(pending) {}
 
   TargetChooser& For(const ServiceName& service);
 
  private:
   const ReplicatedState& state_;
   const HealthCheck& healthy_;
-  const PromisedShards& promised_;
+  const PendingAssignments& pending_assignments_;
   std::map<ServiceName, TargetChooser> choosers_;
 };
 
--- a/src/control/state_feed.cc
+++ b/src/control/state_feed.cc
@@ -13,11 +13,11 @@
 constexpr std::int64_t kPushesPerSecond = 10'000;
 /// A message is made by looking at all instances and ranges, and taking it costs each router as
 /// well. With 20,000 of them, changes are told each 100 ms at most, however few routers there are.
-constexpr Duration kPacePerItem{5};
+constexpr Duration kPushIntervalPerItem{5};
 /// What routers need not know at once waits so long for what they must.
-constexpr Duration kPatience{250'000};
+constexpr Duration kDeferrableUpdateDelay{250'000};
 /// Without word that a push has left, the next one goes out all the same after this.
-constexpr Duration kPushLostAfter{500'000};
+constexpr Duration kPushConfirmationTimeout{500'000};
 
 }  // namespace
 
@@ -26,22 +26,23 @@
   return version >= state_.version() ? nullptr : UpdateSince(version);
 }
 
-Duration StateFeed::PaceOf(std::size_t routers) const {
+Duration StateFeed::PushInterval(std::size_t routers) const {
   const auto messages = static_cast<std::int64_t>(routers);
   const Duration sending = std::chrono::microseconds(messages * std::micro::den / kPushesPerSecond);
-  if (!options_.brings_all) return sending;
+  if (!options_.pushes_all_changes) return sending;
   const auto items = static_cast<std::int64_t>(state_.item_count());
-  return std::max(sending, items * kPacePerItem);
+  return std::max(sending, items * kPushIntervalPerItem);
 }
 
 std::vector<RouterSend> StateFeed::Push(Instant now) {
   std::vector<RouterSend> sends;
   const bool urgent = pushed_version_ < state_.urgent_version();
-  const bool any = urgent || (options_.brings_all && pushed_version_ < state_.version());
-  wait_until_ = urgent ? push_due_ : std::max(push_due_, pushed_at_ + kPatience);
+  const bool any = urgent || (options_.pushes_all_changes && pushed_version_ < state_.version());
+  wait_until_ = urgent ? push_due_ : std::max(push_due_, pushed_at_ + kDeferrableUpdateDelay);
   held_back_ = any && now < wait_until_;
   if (!any || held_back_) return sends;
-  const std::uint64_t wanted = options_.brings_all ? state_.version() : state_.urgent_version();
+  const std::uint64_t wanted =
+      options_.pushes_all_changes ? state_.version() : state_.urgent_version();
   for (auto& [connection, version] : versions_) {
     if (version >= wanted) continue;
     sends.push_back({connection, UpdateSince(version)});
@@ -49,16 +50,17 @@
   }
   pushed_version_ = wanted;
   if (sends.empty()) return sends;
-  push_due_ = now + PaceOf(sends.size());
+  push_due_ = now + PushInterval(sends.size());
   pushed_at_ = now;
   ++last_push_;
-  if (options_.timed) push_due_ = std::max(push_due_, now + kPushLostAfter);
+  if (options_.reports_push_completion)
+    push_due_ = std::max(push_due_, now + kPushConfirmationTimeout);
   return sends;
 }
 
 void StateFeed::PushSent(std::uint64_t push, Instant now) {
   if (push != last_push_) return;
-  push_due_ = std::max(now + (now - pushed_at_), pushed_at_ + PaceOf(versions_.size()));
+  push_due_ = std::max(now + (now - pushed_at_), pushed_at_ + PushInterval(versions_.size()));
 }
 
 StateFeed::Message StateFeed::UpdateSince(std::uint64_t base) {
--- a/src/control/state_feed.h
+++ b/src/control/state_feed.h
@@ -14,10 +14,10 @@
 
 struct StateFeedOptions {
   /// Whether PushSent() will be called for each push.
-  bool timed = false;
+  bool reports_push_completion = false;
   /// Whether all changes are brought in the end, and not only those that routers must know at once.
   /// Otherwise they ask for the rest.
-  bool brings_all = false;
+  bool pushes_all_changes = false;
 };
 
 /// Any member of the group may do this: what it has applied is committed, and a router takes no
@@ -60,7 +60,7 @@
   std::uint64_t updates_made() const { return updates_made_; }
 
  private:
-  Duration PaceOf(std::size_t routers) const;
+  Duration PushInterval(std::size_t routers) const;
 
   const traffic::TrafficState& state_;
   const StateFeedOptions options_;
--- a/src/control/traffic_leader.h
+++ b/src/control/traffic_leader.h
@@ -47,7 +47,7 @@
     return notes;
   }
   /// What answering routers has cost so far: routers looked at, and messages made.
-  std::uint64_t looks() const { return sessions_.looks() + rollout_.looks(); }
+  std::uint64_t evaluations() const { return sessions_.evaluations() + rollout_.looks(); }
   CrashTally& crashes() { return crashes_; }
   ConfigurationRollout& rollout() { return rollout_; }
 
@@ -78,16 +78,16 @@
   std::vector<RouterSend> Push(Instant now) {
     rollout_.Look(now);
     std::vector<RouterSend> sends = sessions_.Push(now);
-    if (sessions_.HasNew()) {
+    if (sessions_.HasHintsPending()) {
       traffic::TrafficHints all = hints_.All(now);
       all.limits = limits_.All(now);
-      sessions_.TellNew(all, sends);
+      sessions_.SendInitialHints(all, sends);
     }
     if (!hints_.IsDue(now)) return sends;
     const auto hints = hints_.Look(ranges_.HotKeys(), now, limits_.TakeChanges(now));
     if (!hints) return sends;
-    for (const traffic::HotKey& hot : hints->hot_keys) ranges_.NoteTold(hot);
-    sessions_.TellAll(*hints, sends);
+    for (const traffic::HotKey& hot : hints->hot_keys) ranges_.RecordHotKeySent(hot);
+    sessions_.BroadcastHints(*hints, sends);
     return sends;
   }
 
--- a/src/control/traffic_sessions.cc
+++ b/src/control/traffic_sessions.cc
@@ -17,8 +17,8 @@
 std::vector<RouterSend> TrafficSessions::Poll(ConnectionId connection,
                                               const traffic::TrafficPoll& poll, Instant now,
                                               const std::string& feed, traffic::QuotaGrant quota) {
-  census_.Heard(poll.router, now);
-  if (sessions_.insert(connection).second) new_.insert(connection);
+  routers_.RecordPoll(poll.router, now);
+  if (sessions_.insert(connection).second) hints_pending_.insert(connection);
   std::vector<RouterSend> sends;
   const bool lacks_state = poll.wants_state && poll.version != state_.version();
   StateFeed::Message state = lacks_state ? StateFor(poll.version, now) : nullptr;
@@ -32,8 +32,8 @@
   answer.sequence = poll.sequence;
   answer.base = answer.version = state_.version();
   answer.configuration = state_.configuration().current().version;
-  answer.routers = census_.Count(now);
-  answer.router_place = census_.PlaceOf(poll.router, now);
+  answer.routers = routers_.Count(now);
+  answer.router_place = routers_.IndexOf(poll.router, now);
   answer.feed = feed;
   answer.quota = std::move(quota);
   sends.push_back({connection, std::make_shared<const ControlToRouter>(std::move(answer))});
@@ -50,15 +50,16 @@
   return message;
 }
 
-void TrafficSessions::TellAll(const traffic::TrafficHints& hints,
-                              std::vector<RouterSend>& sends) const {
+void TrafficSessions::BroadcastHints(const traffic::TrafficHints& hints,
+                                     std::vector<RouterSend>& sends) const {
   const auto message = std::make_shared<const ControlToRouter>(hints);
   for (const ConnectionId connection : sessions_) sends.push_back({connection, message});
 }
 
-void TrafficSessions::TellNew(const traffic::TrafficHints& hints, std::vector<RouterSend>& sends) {
+void TrafficSessions::SendInitialHints(const traffic::TrafficHints& hints,
+                                       std::vector<RouterSend>& sends) {
   const auto message = std::make_shared<const ControlToRouter>(hints);
-  for (const ConnectionId connection : std::exchange(new_, {})) {
+  for (const ConnectionId connection : std::exchange(hints_pending_, {})) {
     sends.push_back({connection, message});
   }
 }
--- a/src/control/traffic_sessions.h
+++ b/src/control/traffic_sessions.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "graniteseam/control/control_node.h"
-#include "src/control/router_census.h"
+#include "src/control/router_registry.h"
 #include "src/control/state_feed.h"
 #include "src/traffic/traffic_state.h"
 
@@ -25,7 +25,7 @@
   /// @param pushes_used the newest number of this process's earlier leaderships.
   TrafficSessions(const traffic::TrafficState& state, Instant now, bool timed = false,
                   std::uint64_t pushes_used = 0)
-      : state_(state), feed_(state, {timed, false}, pushes_used), census_(now) {}
+      : state_(state), feed_(state, {timed, false}, pushes_used), routers_(now) {}
 
   /// Answers a poll. A router that asks for the state is sent what it lacks before that, in a
   /// message of its own which names no poll: hundreds of routers that start together get the same.
@@ -37,7 +37,7 @@
   void Disconnect(ConnectionId connection) {
     sessions_.erase(connection);
     feed_.Disconnect(connection);
-    new_.erase(connection);
+    hints_pending_.erase(connection);
   }
 
   /// What changed for each router that asked for the state here.
@@ -47,20 +47,20 @@
   /// What that push sent has left the process.
   void PushSent(std::uint64_t push, Instant now) { feed_.PushSent(push, now); }
   /// Sends hints to all routers.
-  void TellAll(const traffic::TrafficHints& hints, std::vector<RouterSend>& sends) const;
+  void BroadcastHints(const traffic::TrafficHints& hints, std::vector<RouterSend>& sends) const;
   /// Whether routers were heard of that were told no hints yet.
-  bool HasNew() const { return !new_.empty(); }
+  bool HasHintsPending() const { return !hints_pending_.empty(); }
   /// Sends hints to those.
-  void TellNew(const traffic::TrafficHints& hints, std::vector<RouterSend>& sends);
+  void SendInitialHints(const traffic::TrafficHints& hints, std::vector<RouterSend>& sends);
 
   /// When Push() has something to send that it held back.
   Instant NextDue() const { return feed_.NextDue(); }
 
   /// Routers that polled lately; 0 while a new leader may not have heard of all.
-  std::uint32_t RouterCount(Instant now) { return census_.Count(now); }
+  std::uint32_t RouterCount(Instant now) { return routers_.Count(now); }
 
   /// What answering polls has cost so far: routers looked at, and messages made.
-  std::uint64_t looks() const { return census_.looks() + feed_.updates_made(); }
+  std::uint64_t evaluations() const { return routers_.router_evaluations() + feed_.updates_made(); }
 
  private:
   /// What a router that asks for the state lacks; null when it must ask again.
@@ -68,10 +68,10 @@
 
   const traffic::TrafficState& state_;
   StateFeed feed_;
-  RouterCensus census_;
+  RouterRegistry routers_;
   std::set<ConnectionId> sessions_;
-  std::set<ConnectionId> new_;  ///< Told no hints yet.
-  Instant next_update_{};       ///< When one more message may be made for a router by itself.
+  std::set<ConnectionId> hints_pending_;  ///< Told no hints yet.
+  Instant next_update_{};  ///< When one more message may be made for a router by itself.
 };
 
 }  // namespace graniteseam::control
--- a/tests/control/traffic_sessions_test.cc
+++ b/tests/control/traffic_sessions_test.cc
@@ -123,7 +123,7 @@
   constexpr ConnectionId kRouters = 1'000;
   Fixture fixture(0);
   for (ConnectionId router = 1; router <= kRouters; ++router) fixture.Change();
-  const std::uint64_t before = fixture.sessions.looks();
+  const std::uint64_t before = fixture.sessions.evaluations();
   std::size_t told = 0;
   for (ConnectionId router = 1; router <= kRouters; ++router) {
     traffic::TrafficPoll poll;
@@ -136,5 +136,5 @@
   // 20 at once and one each 5 ms of the half second; the census counts six times.
   cr_assert_leq(told, 20U + 101U);
   cr_assert_gt(told, 50U);
-  cr_assert_leq(fixture.sessions.looks() - before, 121U + 7U * kRouters);
+  cr_assert_leq(fixture.sessions.evaluations() - before, 121U + 7U * kRouters);
 }
