--- a/benchmark/decisions/control_benchmark.cc
+++ b/benchmark/decisions/control_benchmark.cc
@@ -105,7 +105,7 @@
     const LogIndex next = state_.applied().Next();
     const auto outcome =
         state_.Apply({Term{1}, next, consensus::EntryKind::kCommand, EncodeCommand(command)});
-    if (controller_) controller_->Follow(outcome, now_);
+    if (controller_) controller_->HandleApplied(outcome, now_);
   }
 
   void RollBundle() {
@@ -198,7 +198,7 @@
 void RouterRenewalUnchanged(benchmark::State& state) {
   Fleet& fleet = FleetOf(Servers(state));
   RouterSessions sessions(Duration(1'000'000), fleet.state());
-  sessions.FollowState();
+  sessions.SyncState();
   RouterRenewal renewal;
   renewal.bundle_version = BundleVersion{1};
   renewal.map_version = fleet.state().map_version();
--- a/src/control/control_node_impl.cc
+++ b/src/control/control_node_impl.cc
@@ -31,7 +31,7 @@
       ownership(OwnershipOptionsOf(options), state, in_term, numbers_used, now),
       routers(options.router_lease, state),
       traffic(options.traffic, state, in_term, orders_used, pushes_used, now) {
-  routers.FollowState();
+  routers.SyncState();
 }
 
 ControlNode::Impl::Impl(ControlOptions options, consensus::RecoveredState recovered,
@@ -206,9 +206,9 @@
 void ControlNode::Impl::ApplyEntry(const consensus::LogEntry& entry, Instant now) {
   const ApplyOutcome outcome = state_.Apply(entry);
   if (leadership_) {
-    leadership_->ownership.Follow(outcome, now);
+    leadership_->ownership.HandleApplied(outcome, now);
     if (outcome.bundle_rolled || !outcome.registered.empty() || !outcome.lost.empty()) {
-      leadership_->routers.FollowState();
+      leadership_->routers.SyncState();
     }
     if (outcome.configuration_changed) {
       leadership_->traffic.rollout().Committed(state_.traffic().configuration().current().version,
--- a/src/control/heartbeat_leases.cc
+++ b/src/control/heartbeat_leases.cc
@@ -42,8 +42,8 @@
 }  // namespace
 
 void RangeController::UpdateLeaseForms(Instant now) {
-  if (followed_configuration_ == state_.configuration().changed_at()) return;
-  followed_configuration_ = state_.configuration().changed_at();
+  if (synced_configuration_ == state_.configuration().changed_at()) return;
+  synced_configuration_ = state_.configuration().changed_at();
   for (const traffic::Service& service : state_.configuration().current().services) {
     if (!service.keyed) continue;
     const auto [known, fresh] =
@@ -70,7 +70,7 @@
   UpdateLeaseForms(now);
   if (!LeasedByHeartbeat(report.service) || InFormTransition(report.service, now))
     return std::nullopt;
-  if (followed_version_ != state_.ranges().changed_at()) FollowRanges(now);
+  if (synced_version_ != state_.ranges().changed_at()) SyncRanges(now);
   HeartbeatStatus& heartbeat_status = heartbeat_status_[report.id];
   // A late heartbeat tells of keys as they were.
   if (report.sequence <= heartbeat_status.sequence) return std::nullopt;
--- a/src/control/ownership_controller.cc
+++ b/src/control/ownership_controller.cc
@@ -37,7 +37,7 @@
       leases_.AddUnleased(id, *lease, now);
     }
   }
-  shards_followed_ = state_.shards().version();
+  synced_shards_version_ = state_.shards().version();
 }
 
 void OwnershipController::TakePlatformList(const PlatformList& list, Instant now) {
@@ -65,7 +65,7 @@
   leases_.Take(answer, now);
 }
 
-void OwnershipController::Follow(const ApplyOutcome& outcome, Instant now) {
+void OwnershipController::HandleApplied(const ApplyOutcome& outcome, Instant now) {
   for (const auto& server : outcome.lost) leases_.Dismiss(server, now);
   for (const auto& server : outcome.removed) leases_.Remove(server);
   for (const auto& server : outcome.registered) {
@@ -86,20 +86,20 @@
     }
     ContactMachines(now);
   }
-  FollowShards(now);
+  SyncShards(now);
   std::erase_if(pending_changes_, [&](const auto& entry) {
     return entry.second.value != 0 && entry.second <= state_.applied();
   });
   if (state_.applied() >= pending_assignments_until_) pending_assignments_.clear();
-  if (state_.map_version() == map_followed_) return;
-  map_followed_ = state_.map_version();
+  if (state_.map_version() == synced_map_version_) return;
+  synced_map_version_ = state_.map_version();
   placement_stale_ = true;
 }
 
-void OwnershipController::FollowShards(Instant now) {
-  if (state_.shards().version() == shards_followed_) return;
-  auto changes = state_.shards().ChangesSince(shards_followed_);
-  shards_followed_ = state_.shards().version();
+void OwnershipController::SyncShards(Instant now) {
+  if (state_.shards().version() == synced_shards_version_) return;
+  auto changes = state_.shards().ChangesSince(synced_shards_version_);
+  synced_shards_version_ = state_.shards().version();
   for (const auto& change : changes) {
     const lease::ShardGrant grant{change.shard, change.epoch};
     if (change.state == OwnershipState::kAssigned) leases_.Grant(change.owner, grant, now);
@@ -273,11 +273,11 @@
   if (joined == last_joined_.end()) return false;
   const Instant due = joined->second + options_.first_assignment_delay;
   if (now >= due) return false;
-  WakeForPlacement(due);
+  SchedulePlacement(due);
   return true;
 }
 
-void OwnershipController::WakeForPlacement(Instant at) {
+void OwnershipController::SchedulePlacement(Instant at) {
   placement_due_ = std::min(placement_due_.value_or(at), at);
 }
 
@@ -290,7 +290,7 @@
     const auto& service = unassigned.shard.service;
     TargetChooser& chooser = choosers.For(service);
     if (chooser.empty()) {
-      if (chooser.has_unhealthy()) WakeForPlacement(now + options_.placement_retry);
+      if (chooser.has_unhealthy()) SchedulePlacement(now + options_.placement_retry);
       continue;
     }
     if (unassigned.epoch.value == 0) {
@@ -314,7 +314,7 @@
     const std::size_t under_way = owned - std::min(owned, state_.shards().PlannedCount(id));
     if (owned == 0 || under_way >= options_.drain_moves_maximum) continue;
     if (choosers.For(record.service).empty()) {
-      WakeForPlacement(now + options_.placement_retry);
+      SchedulePlacement(now + options_.placement_retry);
       continue;
     }
     auto moves = DrainShardsOf(id, state_, choosers, options_.drain_moves_maximum - under_way);
--- a/src/control/ownership_controller.h
+++ b/src/control/ownership_controller.h
@@ -53,7 +53,7 @@
   /// Takes the shard load that a router counted.
   void TakeLoad(const std::vector<ShardLoad>& loads, Instant now) { balancer_.Report(loads, now); }
   /// Follows what applied entries changed. Called after each applied entry.
-  void Follow(const ApplyOutcome& outcome, Instant now);
+  void HandleApplied(const ApplyOutcome& outcome, Instant now);
 
   /// Commands to propose now. The caller proposes all of them at once and reports with Proposed(),
   /// or drops the controller.
@@ -71,7 +71,7 @@
  private:
   void AddKnownServers(Instant now);
   void ContactMachines(Instant now);
-  void FollowShards(Instant now);
+  void SyncShards(Instant now);
   bool HasPendingChange(const ServerId& server) const;
   const PlatformMachine* Machine(const ServerId& server) const;
 
@@ -87,7 +87,7 @@
   bool MayReceiveShards(const ServerId& server) const;
   bool MayReplace(const ServerId& server) const;
   bool FirstAssignmentWaits(const ServiceName& service, Instant now);
-  void WakeForPlacement(Instant at);
+  void SchedulePlacement(Instant at);
   void CountPendingAssignments(const std::vector<CommandBody>& commands);
 
   OwnershipOptions options_;
@@ -104,8 +104,8 @@
   PendingAssignments pending_assignments_;
   LogIndex pending_assignments_until_;  ///< `pending_assignments_` counts until this is applied.
   std::map<ServerId, Instant> absent_since_;  ///< Without a lease and not on the platform's list.
-  std::uint64_t map_followed_ = 0;            ///< Version of servers and shards last looked at.
-  std::uint64_t shards_followed_ = 0;         ///< Version of the shard table that leases_ knows.
+  std::uint64_t synced_map_version_ = 0;      ///< Version of servers and shards last looked at.
+  std::uint64_t synced_shards_version_ = 0;   ///< Version of the shard table that leases_ knows.
   LogIndex placement_proposed_;               ///< Orphans and drains wait until this is applied.
   bool placement_decided_ = false;            ///< In the last Decide().
   bool leaving_stale_ = true;
--- a/src/control/quota_ledger.cc
+++ b/src/control/quota_ledger.cc
@@ -38,7 +38,7 @@
 constexpr double kDemandForgotten = 0.01;
 /// Younger demand takes single tokens: a share of requests that have gone elsewhere comes back only
 /// after two polls.
-constexpr Duration kLastingAfter{3'000'000};
+constexpr Duration kSustainedAfter{3'000'000};
 /// Requests that should have come in a silence, to take it for the end of a demand.
 constexpr double kMissingRequestsMaximum = 3.0;
 /// Over what time a router's demand is averaged.
@@ -79,9 +79,10 @@
   account.token_rate = overshoot * kOvershootInTokens / window;
 }
 
-void QuotaLedger::Follow(const traffic::Tenancy& tenancy, std::uint64_t changed_at, Instant now) {
-  if (followed_ == changed_at) return;
-  followed_ = changed_at;
+void QuotaLedger::SyncTenants(const traffic::Tenancy& tenancy, std::uint64_t changed_at,
+                              Instant now) {
+  if (synced_tenants_ == changed_at) return;
+  synced_tenants_ = changed_at;
   std::map<TenantName, Account> next;
   for (const traffic::Tenant& tenant : tenancy.tenants) {
     if (!tenant.quota.is_limited()) continue;
@@ -148,13 +149,13 @@
   });
 }
 
-double QuotaLedger::LastingDemand(const Router& router, const TenantName& tenant, bool has_share,
-                                  Instant now) {
+double QuotaLedger::SustainedDemand(const Router& router, const TenantName& tenant, bool has_share,
+                                    Instant now) {
   const auto found = router.demand.find(tenant);
   if (found == router.demand.end()) return 0;
   const Demand& demand = found->second;
   const double least = has_share ? kDemandKept : kDemandMinimum;
-  const bool lasts = has_share || now - demand.since >= kLastingAfter;
+  const bool lasts = has_share || now - demand.since >= kSustainedAfter;
   return lasts && demand.rate >= least ? demand.rate : 0;
 }
 
@@ -184,7 +185,7 @@
   return grant;
 }
 
-QuotaLedger::Share QuotaLedger::ReservedBy(const Router& router, const TenantName& tenant) {
+QuotaLedger::Share QuotaLedger::ReservedShare(const Router& router, const TenantName& tenant) {
   Share reserved;
   for (const ShareSet* sent : {&router.acknowledged, &router.newest}) {
     const auto part = sent->parts.find(tenant);
@@ -238,8 +239,8 @@
   account.reserved = {};
   share_evaluations_ += routers_.size();
   for (const auto& [id, router] : routers_) {
-    const Share reserved = ReservedBy(router, tenant);
-    const double asked = LastingDemand(router, tenant, reserved.burst > 0, now);
+    const Share reserved = ReservedShare(router, tenant);
+    const double asked = SustainedDemand(router, tenant, reserved.burst > 0, now);
     account.reserved.rate += reserved.rate;
     account.reserved.burst += reserved.burst;
     if (asked == 0 && reserved.burst == 0) continue;
@@ -313,9 +314,9 @@
 void QuotaLedger::RefillTokens(Account& account, Instant now) {
   const double free_rate =
       MayHaveInheritedLeases(now) ? 0 : std::max(0.0, account.total.rate - account.reserved.rate);
-  const double come = (free_rate + account.token_rate) * ToSeconds(now - account.refilled_at);
+  const double refill = (free_rate + account.token_rate) * ToSeconds(now - account.refilled_at);
   account.refilled_at = now;
-  account.tokens = std::min(account.tokens + come, TokenRoom(account));
+  account.tokens = std::min(account.tokens + refill, TokenRoom(account));
 }
 
 traffic::TokenAnswer QuotaLedger::TakeTokens(const traffic::TokenRequest& request, Instant now) {
--- a/src/control/quota_ledger.h
+++ b/src/control/quota_ledger.h
@@ -34,7 +34,7 @@
 
   /// Takes the tenants in force.
   /// @param changed_at of the configuration; the same again costs nothing.
-  void Follow(const traffic::Tenancy& tenancy, std::uint64_t changed_at, Instant now);
+  void SyncTenants(const traffic::Tenancy& tenancy, std::uint64_t changed_at, Instant now);
 
   /// Takes what a router tells, and says what its answer must bring.
   traffic::QuotaGrant TakePoll(const RouterId& router, const traffic::QuotaReport& report,
@@ -92,11 +92,11 @@
   };
   ShareSetStatus TakeShares(Router& router, const traffic::QuotaReport& report, Instant now);
   /// Requests a second for which a router is to have a share; 0 for none.
-  static double LastingDemand(const Router& router, const traffic::TenantName& tenant,
-                              bool has_share, Instant now);
+  static double SustainedDemand(const Router& router, const traffic::TenantName& tenant,
+                                bool has_share, Instant now);
   static void TakeDemand(Router& router, const traffic::QuotaReport& report, Instant now);
   /// What a router may use of a tenant's quota, whichever of its sets it goes by.
-  static Share ReservedBy(const Router& router, const traffic::TenantName& tenant);
+  static Share ReservedShare(const Router& router, const traffic::TenantName& tenant);
   void RemoveExpiredRouters(Instant now);
   /// Divides all quotas anew, at intervals.
   void Divide(Instant now);
@@ -124,7 +124,7 @@
   const QuotaOptions options_;
   const std::uint64_t first_number_;
   const Instant inherited_until_;
-  std::uint64_t followed_ = 0;
+  std::uint64_t synced_tenants_ = 0;
   std::map<traffic::TenantName, Account> accounts_;
   std::map<RouterId, Router> routers_;
   /// What each router is to have next, by router and tenant.
--- a/src/control/range_balancer.cc
+++ b/src/control/range_balancer.cc
@@ -98,7 +98,7 @@
   moved->successor = move.successor;
 }
 
-Instant RangeCandidate::HeartbeatFrom(Instant time) const {
+Instant RangeCandidate::NextHeartbeatFrom(Instant time) const {
   if (heartbeat_interval <= Duration{} || next_heartbeat >= time)
     return std::max(next_heartbeat, time);
   const auto intervals =
@@ -309,13 +309,14 @@
       *std::max_element(candidates.begin(), candidates.end(),
                         [&](const auto& a, const auto& b) { return room_of(a) < room_of(b); }));
   // Among those with room, the one that comes for the keys soonest after their release.
-  const Instant released = heaviest->HeartbeatFrom(now) + kReleaseTime;
+  const Instant released = heaviest->NextHeartbeatFrom(now) + kReleaseTime;
   const RangeCandidate* next = nullptr;
   for (const RangeCandidate& candidate : candidates) {
     if (room_of(candidate) < most_room * kRoomPartMinimum) continue;
-    const bool sooner =
-        next == nullptr || candidate.HeartbeatFrom(released) < next->HeartbeatFrom(released);
-    const bool same = !sooner && candidate.HeartbeatFrom(released) == next->HeartbeatFrom(released);
+    const bool sooner = next == nullptr ||
+                        candidate.NextHeartbeatFrom(released) < next->NextHeartbeatFrom(released);
+    const bool same =
+        !sooner && candidate.NextHeartbeatFrom(released) == next->NextHeartbeatFrom(released);
     if (sooner || (same && room_of(candidate) > room_of(*next))) next = &candidate;
   }
   const double over = (load_of(*heaviest) - mean) * heaviest->slots;
--- a/src/control/range_balancer.h
+++ b/src/control/range_balancer.h
@@ -23,7 +23,7 @@
   Duration heartbeat_interval{};
 
   /// Its first heartbeat from `time` on.
-  Instant HeartbeatFrom(Instant time) const;
+  Instant NextHeartbeatFrom(Instant time) const;
 };
 
 /// Lets ranges stand as after a move was begun: its span is cut out and on its way.
--- a/src/control/range_controller.cc
+++ b/src/control/range_controller.cc
@@ -77,7 +77,7 @@
       NoteGrant(range.owner, service, range.span, EndOfGrant(length, given));
     }
   }
-  FollowRanges(now);
+  SyncRanges(now);
 }
 
 Instant RangeController::EndOfGrant(Duration length, Instant received) const {
@@ -119,18 +119,18 @@
 
 /// Keeps what is known of ranges that are still the same; what was cut or joined begins anew with
 /// an order at once, which is harmless.
-void RangeController::FollowRanges(Instant now) {
+void RangeController::SyncRanges(Instant now) {
   AddEvaluations(range_status_.size());
-  std::map<RangeKey, RangeStatus> followed;
+  std::map<RangeKey, RangeStatus> synced;
   for (const auto& [service, ranges] : state_.ranges().services()) {
     for (const auto& [first, range] : ranges) {
       const auto known = range_status_.find({service, first});
       const bool same = known != range_status_.end() && known->second.fence == range.fence &&
                         known->second.last == range.span.last;
       if (same) {
-        followed.emplace(known->first, std::move(known->second));
+        synced.emplace(known->first, std::move(known->second));
       } else {
-        RangeStatus& status = followed[{service, first}];
+        RangeStatus& status = synced[{service, first}];
         status.fence = range.fence;
         status.last = range.span.last;
         status.since = now;
@@ -138,15 +138,15 @@
         // renews all within that time, one after the other.
         const bool stands = range.phase == RangePhase::kServing;
         const Duration within = options_.renewal_interval / 4;
-        status.next_order = stands ? now + StaggeredPart(within, followed.size()) : now;
+        status.next_order = stands ? now + StaggeredPart(within, synced.size()) : now;
         const RangeStatus* const whole = PreviousStatus({service, first}, range.fence);
         status.refused = whole != nullptr && whole->refused;
         status.leased = whole != nullptr && whole->leased;
       }
     }
   }
-  range_status_ = std::move(followed);
-  followed_version_ = state_.ranges().changed_at();
+  range_status_ = std::move(synced);
+  synced_version_ = state_.ranges().changed_at();
   for (auto& [instance, ends] : grant_ends_) {
     std::erase_if(ends, [&](const GrantEnd& known) { return known.end < now; });
   }
@@ -293,7 +293,7 @@
   decided_version_ = state_.version();
   AddEvaluations(range_status_.size());
   UpdateLeaseForms(now);
-  if (followed_version_ != state_.ranges().changed_at()) FollowRanges(now);
+  if (synced_version_ != state_.ranges().changed_at()) SyncRanges(now);
   views_.clear();
   std::vector<CommandBody> commands;
   DecideConfirmations(commands);
@@ -452,7 +452,7 @@
   if (now < NextOrderDue()) return {};
   ordered_version_ = state_.version();
   UpdateLeaseForms(now);
-  if (followed_version_ != state_.ranges().changed_at()) FollowRanges(now);
+  if (synced_version_ != state_.ranges().changed_at()) SyncRanges(now);
   orders_due_ = now + kDecisionInterval;
   AddEvaluations(range_status_.size());
   const std::size_t at_once = std::max(kOrdersAtOnce, range_status_.size() / kOrdersAtOnce);
--- a/src/control/range_controller.h
+++ b/src/control/range_controller.h
@@ -134,7 +134,7 @@
     bool begun = false;  ///< An answer to the owner left the keys out.
   };
 
-  void FollowRanges(Instant now);
+  void SyncRanges(Instant now);
   /// What is known of the range that held `key` under the same fence, null when there was none.
   const RangeStatus* PreviousStatus(const RangeKey& key, traffic::Fence fence) const;
   RangeStatus* StatusOf(const OpenOrder& open);
@@ -255,7 +255,7 @@
     Instant transition_until{};
   };
   std::map<ServiceName, LeaseFormStatus> lease_forms_;  ///< A dropped service keeps its last one.
-  std::uint64_t followed_configuration_ = 0;
+  std::uint64_t synced_configuration_ = 0;
   OrderNumber last_number_;
   /// When the number of a service's candidates last changed while all its keys are unowned.
   struct Settling {
@@ -264,7 +264,7 @@
   };
   std::map<ServiceName, Settling> settling_;
   std::vector<RangeNote> notes_;
-  std::uint64_t followed_version_ = 0;
+  std::uint64_t synced_version_ = 0;
   std::uint64_t decided_version_ = 0;  ///< Of the state at the last full Decide().
   std::uint64_t ordered_version_ = 0;  ///< The same of Orders().
   Instant decide_due_{};
--- a/src/control/router_sessions.cc
+++ b/src/control/router_sessions.cc
@@ -110,7 +110,7 @@
   }
 }
 
-void RouterSessions::FollowState() {
+void RouterSessions::SyncState() {
   const auto* bundle = state_.bundles().InForce();
   if (bundle == nullptr) return;
   std::map<ServiceName, double> servers;
--- a/src/control/router_sessions.h
+++ b/src/control/router_sessions.h
@@ -33,7 +33,7 @@
   void Disconnect(std::uint64_t connection);
 
   /// Takes the groups and capacities of the bundle in force and of the servers as they are.
-  void FollowState();
+  void SyncState();
 
   std::vector<ProcessVersion> Versions(Instant now) const;
 
--- a/src/control/state_feed.cc
+++ b/src/control/state_feed.cc
@@ -22,7 +22,7 @@
 }  // namespace
 
 StateFeed::Message StateFeed::Subscribe(ConnectionId connection, std::uint64_t version) {
-  Follow(connection);
+  MarkCurrent(connection);
   return version >= state_.version() ? nullptr : UpdateSince(version);
 }
 
--- a/src/control/state_feed.h
+++ b/src/control/state_feed.h
@@ -42,7 +42,7 @@
   /// @return the message with what it lacks now; null when it lacks nothing.
   Message Subscribe(ConnectionId connection, std::uint64_t version);
   /// The router has the newest state, as it was told or sent by other means.
-  void Follow(ConnectionId connection) { versions_[connection] = state_.version(); }
+  void MarkCurrent(ConnectionId connection) { versions_[connection] = state_.version(); }
   void Disconnect(ConnectionId connection) { versions_.erase(connection); }
 
   /// What changed for each router since it was last sent something.
--- a/src/control/traffic_leader.h
+++ b/src/control/traffic_leader.h
@@ -60,13 +60,13 @@
     hints_.TakePoll(poll, now);
     crashes_.TakePoll(poll, now);
     rollout_.Heard(poll.router, poll.version, now);
-    FollowTenants(now);
+    SyncQuotaTenants(now);
     return sessions_.Poll(connection, poll, now, feed,
                           quotas_.TakePoll(poll.router, poll.quota, now));
   }
 
   traffic::TokenAnswer TakeTokens(const traffic::TokenRequest& request, Instant now) {
-    FollowTenants(now);
+    SyncQuotaTenants(now);
     traffic::TokenAnswer answer = quotas_.TakeTokens(request, now);
     for (const traffic::LimitTokenRequest& limited : request.limited) {
       answer.limited.push_back(limits_.TakeTokens(limited, now));
@@ -95,7 +95,7 @@
   std::vector<CommandBody> Decide(Instant now) {
     if (state_.applied() < proposed_) return {};
     std::vector<CommandBody> commands = ranges_.Decide(now);
-    if (now >= forerunners_due_) DeregisterForerunners(commands, now);
+    if (now >= stale_address_check_due_) DeregisterStaleAddressHolders(commands, now);
     crashes_.Decide(commands, now);
     return commands;
   }
@@ -112,17 +112,17 @@
   }
 
  private:
-  void FollowTenants(Instant now) {
+  void SyncQuotaTenants(Instant now) {
     const traffic::ConfigurationStore& store = state_.traffic().configuration();
-    quotas_.Follow(store.tenancy(), store.changed_at(), now);
+    quotas_.SyncTenants(store.tenancy(), store.changed_at(), now);
   }
 
   /// How often displaced instances are looked at that turn out to live.
-  static constexpr Duration kForerunnersInterval{1'000'000};
+  static constexpr Duration kStaleAddressCheckInterval{1'000'000};
 
   /// The instance that lives gets its address back.
-  void DeregisterForerunners(std::vector<CommandBody>& commands, Instant now) {
-    forerunners_due_ = now + kForerunnersInterval;
+  void DeregisterStaleAddressHolders(std::vector<CommandBody>& commands, Instant now) {
+    stale_address_check_due_ = now + kStaleAddressCheckInterval;
     for (Forerunner& one : Forerunners(state_.traffic().instances(), liveness_, now)) {
       commands.emplace_back(DeregisterInstanceCommand{one.id});
       ++one.displaced.sequence;  // Newer than what is known, so that it is taken.
@@ -140,7 +140,7 @@
   ConfigurationRollout rollout_;
   QuotaLedger quotas_;
   LogIndex proposed_;
-  Instant forerunners_due_{};
+  Instant stale_address_check_due_{};
 };
 
 }  // namespace graniteseam::control
--- a/src/control/traffic_sessions.cc
+++ b/src/control/traffic_sessions.cc
@@ -25,7 +25,7 @@
   if (!poll.wants_state) {
     feed_.Disconnect(connection);
   } else if (state || !lacks_state) {
-    feed_.Follow(connection);
+    feed_.MarkCurrent(connection);
   }
   if (state) sends.push_back({connection, std::move(state)});
   traffic::TrafficUpdate answer;
--- a/tests/quota/quota_world.cc
+++ b/tests/quota/quota_world.cc
@@ -199,7 +199,7 @@
       tenant.name = kTenant;
       tenant.quota = options_.quota;
       tenancy.tenants = {tenant};
-      ledger_->Follow(tenancy, changed_at_, now_);
+      ledger_->SyncTenants(tenancy, changed_at_, now_);
     }
     for (std::size_t index = 0; index < gateways_.size(); ++index) {
       if (Stands(gateways_[index])) continue;
