--- a/src/control/operator_requests.cc
+++ b/src/control/operator_requests.cc
@@ -54,26 +54,27 @@
     return Refuse(ErrorKind::kNotFound,
                   "Service " + request.shard.service.value + " has no shard " +
                       std::to_string(request.shard.index) + ".",
-                  "Look the shards up with `graniteseamctl shard show`.");
+                  "List the shards with `graniteseamctl shard show`.");
   }
   const auto* target = state.servers().Find(request.target);
   if (target == nullptr || target->service != request.shard.service) {
     return Refuse(
         ErrorKind::kNotFound,
         "Service " + request.shard.service.value + " has no server " + request.target.value + ".",
-        "Look the servers up with `graniteseamctl fleet status`.");
+        "List the servers with `graniteseamctl fleet status`.");
   }
   const bool moving = shard->state == placement::OwnershipState::kMoving;
   if (moving ? shard->target == request.target : shard->owner == request.target) {
     return AlreadyDone(state);
   }
   if (shard->state == placement::OwnershipState::kUnassigned) {
-    return Refuse(ErrorKind::kFailedPrecondition, "The shard has no owner at present.",
-                  "Wait until it was assigned; this takes less than a second.");
+    return Refuse(
+        ErrorKind::kFailedPrecondition, "The shard has no owner at present.",
+        "Wait until the shard is assigned, which takes less than a second, and try again.");
   }
   if (!target->AcceptsNewWork()) {
     return Refuse(ErrorKind::kFailedPrecondition,
-                  "Server " + request.target.value + " takes no new work.",
+                  "Server " + request.target.value + " accepts no new work.",
                   "Choose another server, or undrain this one.");
   }
   return CommandBody(
@@ -100,7 +101,7 @@
     case ChangeMembership::Kind::kPromote:
       if (votes) return AlreadyDone(state);
       if (!learns) {
-        return Refuse(ErrorKind::kNotFound, Name(member) + " is no learner.",
+        return Refuse(ErrorKind::kNotFound, Name(member) + " is not a learner.",
                       "Add it as a learner first: `graniteseamctl control add`.");
       }
       Erase(next.learners, member);
--- a/src/control/operator_requests.h
+++ b/src/control/operator_requests.h
@@ -1,5 +1,5 @@
 /// @file
-/// Turns what operators ask into log commands, membership changes or answers.
+/// Plans operators' requests: turns each into a log command, a membership change or an answer.
 #pragma once
 
 #include <map>
@@ -13,12 +13,15 @@
 
 namespace graniteseam::control {
 
-/// What is to be done for a request: propose, or answer at once.
+/// The outcome of planning: a command or membership to propose, or an immediate answer.
 using OperatorStep = std::variant<CommandBody, consensus::Membership, OperatorAnswer>;
 
-/// Plans changes against the state and membership of an established leader. Each request may be
-/// resent: one whose effect is already there is accepted.
+/// Plans a request against the applied state and the membership of an established leader. Requests
+/// are idempotent: one whose effect is already in place is accepted without a proposal.
+///
+/// Pure functions without side effects; errors are returned as the answer, each with a remedy.
 OperatorStep PlanRequest(const SubmitBundle& request, const ReplicatedState& state);
+/// @param reviewer_keys public keys by reviewer, from this process's settings.
 /// @param reviewer_keys reviewer -> public key, from this process's settings.
 OperatorStep PlanRequest(const SignBundle& request,
                          const std::map<std::string, std::string>& reviewer_keys);
--- a/src/control/order_names.h
+++ b/src/control/order_names.h
@@ -1,5 +1,5 @@
 /// @file
-/// Names of orders' kinds and outcomes, as events and metrics tell them.
+/// Names of range orders' kinds and outcomes, as written to events and metrics.
 #pragma once
 
 #include "graniteseam/control/range_orders.h"
--- a/src/control/ownership_controller.cc
+++ b/src/control/ownership_controller.cc
@@ -136,7 +136,7 @@
       DecideUnassigned(now, choosers, commands);
       DecideDrains(now, choosers, commands);
     }
-    // Moves for balance wait while shards without an owner are being given away.
+    // Moves for load balance wait while this pass assigns shards or empties drained servers.
     if (commands.size() == before) DecideBalance(now, commands);
     placement_decided_ = commands.size() > before;
   }
@@ -170,8 +170,8 @@
   for (const auto& server : leases_.expired()) {
     if (HasPendingChange(server)) continue;
     if (const auto successor = leases_.Successor(server, now)) {
-      // The old incarnation's lease is over and a new one answers: it keeps the server's shards, at
-      // new epochs, which costs no move.
+      // The old incarnation's lease has expired and a new incarnation answers: it keeps the
+      // server's shards at new epochs, so that no move is needed.
       if (auto command = Registration(server, *successor)) {
         commands.push_back(std::move(*command));
         pending_changes_[server] = LogIndex{};
@@ -203,8 +203,8 @@
 bool OwnershipController::MayReplace(const ServerId& server) const {
   const auto* record = state_.servers().Find(server);
   if (record == nullptr || !record->serving) return true;
-  // Another incarnation may still hold the lease. Without shards it owns nothing exclusively, so
-  // nothing need be waited for; with shards the lease is waited out (DecideLosses).
+  // Another incarnation may still hold the lease. Without shards it owns nothing exclusively, and
+  // it can be replaced at once; with shards, its lease has to expire first (DecideLosses).
   return state_.shards().OwnedCount(server) == 0;
 }
 
@@ -224,8 +224,8 @@
 bool OwnershipController::MayReceiveShards(const ServerId& server) const {
   const auto* record = state_.servers().Find(server);
   if (record == nullptr || !record->AcceptsNewWork()) return false;
-  // Not Healthy(): a new leader has not heard of every server yet, and an accepted move should end
-  // where it was meant to.
+  // Tests the remaining lease and not Healthy(): a new leader has not received an answer from every
+  // server yet, and an accepted move should end at its planned target.
   return leases_.Remaining(server, now_) > Duration::zero();
 }
 
@@ -237,7 +237,8 @@
     if (!shard || shard->epoch != release.grant.epoch || shard->owner != release.server) continue;
     const auto target = MayReceiveShards(shard->target) ? std::optional(shard->target)
                                                         : choosers.For(shard->shard.service).Next();
-    // Released, so it must go on somewhere: the target of the plan, else back to the old owner.
+    // A released shard needs an owner: the planned target, another candidate, or else the old
+    // owner.
     command.assignments.push_back({shard->shard, shard->epoch, target.value_or(shard->owner)});
   }
   if (!command.assignments.empty()) commands.emplace_back(std::move(command));
@@ -331,7 +332,7 @@
 std::vector<std::pair<std::string, lease::LeaseRequest>> OwnershipController::Sends(Instant now) {
   std::vector<std::pair<std::string, lease::LeaseRequest>> sends;
   for (auto& request : leases_.Advance(now)) {
-    // A machine's newest address comes from the platform's list; the log's is older.
+    // The platform's list has a machine's current address; the log's may be older.
     const auto* machine = Machine(request.server);
     const auto* record = state_.servers().Find(request.server);
     if (machine == nullptr && record == nullptr) continue;
--- a/src/control/ownership_controller.h
+++ b/src/control/ownership_controller.h
@@ -1,6 +1,6 @@
 /// @file
-/// What the control leader decides about servers and shards: whom to admit, whose lease is over,
-/// which shard goes where, and which move to start.
+/// The control leader's decisions about servers and shards: admission of servers, expiry of leases,
+/// assignment of shards, and moves.
 #pragma once
 
 #include <cstdint>
@@ -21,49 +21,56 @@
 struct OwnershipOptions {
   lease::LeaseTableOptions leases;
   LoadBalancerOptions balancer;
-  /// Shards that were never assigned wait until no server of their service joined for this long,
-  /// so that the first server to join doesn't get them all.
+  /// A service's shards are first assigned once no server of it has registered for this long, so
+  /// that the first server to register does not receive all of them.
   Duration first_assignment_delay{200'000};
-  /// A server without a lease that the platform's list does not name is forgotten after this long.
+  /// A server without a lease that is absent from the platform's list is removed after this long.
   Duration forget_after{600'000'000};
-  /// Assignments in one command: bounds a log entry, and the time to apply it.
+  /// Maximum assignments in one command; bounds the size of a log entry and the time to apply it.
   std::size_t assignments_maximum = 5'000;
-  /// How soon shards are looked at again whose candidates had not answered lately.
+  /// Interval after which placement is retried for shards whose candidates were all unhealthy.
   Duration placement_retry{50'000};
-  /// Shards of one drained server that are under way at once.
+  /// Maximum concurrent moves away from one drained server.
   std::size_t drain_moves_maximum = 64;
 };
 
 /// The duties of an established leader in one term. Reads the replicated state and changes it only
 /// through commands, which the caller proposes.
 ///
-/// Lifecycle: made when leadership is established, dropped with it or when a proposal fails: all it
-/// knows is soft. Called only while the leader lease is held. Not thread safe; deterministic.
+/// Lifecycle: created when leadership is established, destroyed when leadership ends or a proposal
+/// fails; all of its state is volatile. Called only while the leader lease is held. Not thread
+/// safe; deterministic.
 class OwnershipController {
  public:
+  /// @param state outlives the controller.
+  /// @param state outlives the controller.
+  /// @param numbers_used numbers_used() of an earlier lease table of the same term, else 0.
+  /// @param numbers_used the highest lease request number that this process has used before.
   /// @param state outlives the controller.
   OwnershipController(OwnershipOptions options, const ReplicatedState& state, Term term,
                       std::uint64_t numbers_used, Instant now);
   OwnershipController(const OwnershipController&) = delete;
   OwnershipController& operator=(const OwnershipController&) = delete;
 
-  /// Takes the platform's list, a hint: names whom to greet and who is about to leave.
+  /// Processes the platform's list of machines. The list is a hint: it names servers to contact and
+  /// servers that are about to leave.
   void TakePlatformList(const PlatformList& list, Instant now);
+  /// Processes a server's answer to a lease request.
   void TakeAnswer(const lease::LeaseAnswer& answer, Instant now);
-  /// Takes the shard load that a router counted.
+  /// Processes the load per shard that a router measured.
   void TakeLoad(const std::vector<ShardLoad>& loads, Instant now) { balancer_.Report(loads, now); }
-  /// Follows what applied entries changed. Called after each applied entry.
+  /// Updates leases and placement after an applied entry. Called after each applied entry.
   void HandleApplied(const ApplyOutcome& outcome, Instant now);
 
-  /// Commands to propose now. The caller proposes all of them at once and reports with Proposed(),
-  /// or drops the controller.
+  /// Returns the commands to propose now. The caller proposes all of them at once and calls
+  /// Proposed(), or destroys the controller.
   std::vector<CommandBody> Decide(Instant now);
-  /// Tells where the commands of the last Decide() stand in the log.
+  /// Records the log index of the last command that Decide() returned.
   void Proposed(LogIndex last);
 
-  /// Messages to servers that are due, as (address, request).
+  /// Returns the lease requests that are due, as (address, request).
   std::vector<std::pair<std::string, lease::LeaseRequest>> Sends(Instant now);
-  /// When Decide() or Sends() has something to do next without another event.
+  /// The next time at which Decide() or Sends() has work without a further event.
   Instant NextDue() const;
 
   const lease::LeaseTable& leases() const { return leases_; }
@@ -95,22 +102,28 @@
   lease::LeaseTable leases_;
   HealthCheck healthy_;
   LoadBalancer balancer_;
-  Instant now_{};  ///< Of the call under way, for `healthy_`.
+  Instant now_{};  ///< Time of the current Decide(), for `healthy_`.
   std::map<ServerId, PlatformMachine> machines_;
-  std::map<ServerId, bool> reported_leaving_;  ///< Each server's own word.
+  std::map<ServerId, bool> reported_leaving_;  ///< As each server reported itself.
   std::map<ServiceName, Instant> last_joined_;
-  /// Servers with a registration or loss under way, and its log index; 0 until it is proposed.
+  /// Servers with a pending registration or loss, and the log index of its command; 0 until that is
+  /// proposed.
   std::map<ServerId, LogIndex> pending_changes_;
   PendingAssignments pending_assignments_;
-  LogIndex pending_assignments_until_;  ///< `pending_assignments_` counts until this is applied.
-  std::map<ServerId, Instant> absent_since_;  ///< Without a lease and not on the platform's list.
-  std::uint64_t synced_map_version_ = 0;      ///< Version of servers and shards last looked at.
-  std::uint64_t synced_shards_version_ = 0;   ///< Version of the shard table that leases_ knows.
-  LogIndex placement_proposed_;               ///< Orphans and drains wait until this is applied.
-  bool placement_decided_ = false;            ///< In the last Decide().
+  /// `pending_assignments_` is valid until this index is applied.
+  LogIndex pending_assignments_until_;
+  /// Servers without a lease that are absent from the platform's list.
+  std::map<ServerId, Instant> absent_since_;
+  /// Version of servers and shards at the last placement decision.
+  std::uint64_t synced_map_version_ = 0;
+  std::uint64_t synced_shards_version_ =
+      0;                            ///< Version of the shard table that `leases_` reflects.
+  LogIndex placement_proposed_;     ///< Placement decisions wait until this index is applied.
+  bool placement_decided_ = false;  ///< Whether the last Decide() returned placement commands.
   bool leaving_stale_ = true;
   bool placement_stale_ = true;
-  std::optional<Instant> placement_due_;  ///< When to look at placement again.
+  /// Time of the next placement decision without a further event.
+  std::optional<Instant> placement_due_;
 };
 
 }  // namespace graniteseam::control
--- a/src/control/quota_ledger.cc
+++ b/src/control/quota_ledger.cc
@@ -15,47 +15,50 @@
 
 constexpr Duration kDivideInterval{200'000};
 constexpr Duration kNoteInterval{1'000'000};
-/// Quotas of many tenants among many routers are divided less often: a twentieth of a core at most.
+/// Interval between divisions for each (tenant, router) pair, so that dividing many quotas among
+/// many routers takes at most a twentieth of a core.
 constexpr Duration kDivideIntervalPerShare{5};
-/// Added to a lease, beside the drift of clocks, before its end is taken for certain.
+/// Safety margin added to a lease, beside the clock drift, before it is treated as expired.
 constexpr Duration kLeaseSlack{200'000};
-/// Of a quota's burst, the part that is leased in shares; single tokens take the rest.
+/// Part of a quota's burst that is leased in shares; single tokens use the rest.
 constexpr double kLeasedBurst = 0.7;
-/// Of its rate, single tokens take so much of the demand, and half of the rate at the most: what
-/// comes beyond the shares by chance.
+/// Single tokens keep this part of the demand from the quota's rate, and at most half of the rate,
+/// for requests that by chance exceed the shares.
 constexpr double kPooledDemand = 0.4;
 constexpr double kLeasedRateMinimum = 0.5;
-/// A quota allows its burst within each window: this part of it is given out as rate.
+/// Part of a quota's burst, which is allowed once per window, that is distributed as rate.
 constexpr double kBurstAsRate = 0.6;
-/// Of the allowed overshoot, the part that is given out as burst, and the part as tokens. The rest
-/// answers requests that were let in and reach a server a moment later.
+/// Parts of the allowed overshoot that are distributed as burst and as tokens. The rest covers
+/// requests that were admitted and reach a server slightly later.
 constexpr double kOvershootInBurst = 0.4;
 constexpr double kOvershootInTokens = 0.2;
-/// Requests a second from which on a router gets a share, and below which it loses it. With fewer,
-/// a share fills too slowly to be worth what it keeps from others.
+/// Demand in requests per second at which a router gets a share, and below which it loses it. With
+/// less demand, a share refills too slowly to justify the capacity that it withholds from other
+/// routers.
 constexpr double kDemandMinimum = 0.8;
 constexpr double kDemandKept = 0.4;
 constexpr double kDemandForgotten = 0.01;
-/// Younger demand takes single tokens: a share of requests that have gone elsewhere comes back only
-/// after two polls.
+/// Demand younger than this uses single tokens: when requests move to another router, the capacity
+/// of a share returns only after two polls.
 constexpr Duration kSustainedAfter{3'000'000};
-/// Requests that should have come in a silence, to take it for the end of a demand.
+/// Number of expected requests that must fail to arrive before a demand is treated as ended.
 constexpr double kMissingRequestsMaximum = 3.0;
-/// Over what time a router's demand is averaged.
+/// Averaging time of a router's demand, in seconds.
 constexpr double kDemandSeconds = 4.0;
-/// A share changes only by more than this part: each change is told to its router.
+/// Minimum relative change of a share that is sent to its router; each change costs a message.
 constexpr double kShareChangeMinimum = 0.2;
-/// A share that lets no whole request in at once is none.
+/// A share with less burst admits no whole request and is treated as none.
 constexpr double kBurstMinimum = 1.0;
 constexpr std::uint64_t kNumbersPerTerm = std::uint64_t{1} << 32;
-/// Shorter spans between polls are taken for this, in seconds: their rates say nothing.
+/// Minimum time between polls in seconds; rates over a shorter time are unreliable and are computed
+/// over this one.
 constexpr double kReportSpanMinimum = 0.05;
-/// Requests a second by which a refusal tells when to come back, where next to none come.
+/// Minimum refill rate, in requests per second, for computing the retry delay of a refusal.
 constexpr double kRetryRateMinimum = 0.1;
-/// Routers and tenants of one report; more is a mistake of its sender.
+/// Maximum tenants tracked for each router; a longer report is a fault of its sender.
 constexpr std::size_t kTenantsPerRouter = 4'096;
 
-/// Whether a share that goes from one size to another is worth telling to its router.
+/// Whether a change of a share's size is large enough to send to its router.
 bool IsSignificantChange(double before, double after) {
   return (before == 0) != (after == 0) || std::abs(after - before) > kShareChangeMinimum * before;
 }
@@ -108,17 +111,18 @@
     return ShareSetStatus::kKnown;
   }
   if (report.number == router.acknowledged.number) return ShareSetStatus::kKnown;
-  // A router that has started anew; what its last life may use stays reserved, and is its own.
+  // A restarted router. The shares of its former process stay reserved for it.
   if (report.number == 0) return ShareSetStatus::kNone;
   if (report.number < router.acknowledged.number) return ShareSetStatus::kLate;
   if (!MayHaveInheritedLeases(now)) {
-    // Its lease is over: this leader has not renewed it, and earlier ones are gone for longer.
+    // The lease has expired: this leader has not renewed it, and those of earlier leaders ended
+    // before.
     router.acknowledged = {report.number, {}};
     router.newest = {std::max(first_number_, report.number + 1), {}};
     return ShareSetStatus::kNone;
   }
   if (!report.tells_shares) return ShareSetStatus::kUnknown;
-  // Given by an earlier leader.
+  // Granted by an earlier leader.
   ShareSet held;
   held.number = report.number;
   for (const traffic::QuotaShare& share : report.shares) {
@@ -142,7 +146,7 @@
     demand.rate += newest * count.requests / span;
     demand.newest = now;
   }
-  // A silence that chance does not explain: the tenant's requests go elsewhere now.
+  // No requests for longer than chance explains: the tenant's requests now use another router.
   std::erase_if(router.demand, [&](const auto& entry) {
     return ToSeconds(now - entry.second.newest) * entry.second.rate > kMissingRequestsMaximum ||
            entry.second.rate < kDemandForgotten;
@@ -208,7 +212,7 @@
   const auto share_evaluations = static_cast<std::int64_t>(accounts_.size() * routers_.size());
   divide_due_ = now + std::max(kDivideInterval, share_evaluations * kDivideIntervalPerShare);
   RemoveExpiredRouters(now);
-  // What no router was sent is open again.
+  // Shares that were planned and not sent are free again.
   wanted_.clear();
   for (auto& [tenant, account] : accounts_) DivideQuota(tenant, account, now);
 }
@@ -220,7 +224,8 @@
                                  account.total.rate - account.demand * kPooledDemand),
                         account.total.burst * kLeasedBurst};
   SetWanted(claims, leased, account.demand);
-  // A share grows by what nobody may use; a smaller one frees the rest once its router has it.
+  // A share grows by capacity that no router may use; a smaller share frees the difference once its
+  // router has acknowledged it.
   Share free;
   if (!MayHaveInheritedLeases(now)) {
     free = {leased.rate - account.reserved.rate, leased.burst - account.reserved.burst};
@@ -247,7 +252,8 @@
     claims.push_back({&id, asked, reserved, {}});
     account.demand += asked;
   }
-  // Largest first: where not all get a share of a whole request, those that ask most do.
+  // Largest first: where the capacity is too small for all to get a share of a whole request, the
+  // routers with the most demand do.
   std::stable_sort(claims.begin(), claims.end(),
                    [](const Claim& a, const Claim& b) { return a.demand > b.demand; });
   return claims;
@@ -277,7 +283,7 @@
   const Share more = {std::max(0.0, next.rate - held.rate), std::max(0.0, next.burst - held.burst)};
   free.rate -= more.rate;
   free.burst -= more.burst;
-  // Reserved from now on, though its router hears of it with its next poll.
+  // Reserved immediately, although the router receives the share with its next poll.
   account.reserved.rate += more.rate;
   account.reserved.burst += more.burst;
   const ShareSet& newest = routers_.at(*claim.router).newest;
@@ -327,7 +333,7 @@
     traffic::TokenGrant& grant = answer.granted.emplace_back();
     grant.tenant = wanted.tenant;
     const auto found = accounts_.find(wanted.tenant);
-    // A limit that is gone, or a tenant that is: its router will hear of it.
+    // The tenant or its limit was removed: the router learns this from the next configuration.
     grant.requests = wanted.requests;
     if (found == accounts_.end()) continue;
     Account& account = found->second;
--- a/src/control/range_balancer.cc
+++ b/src/control/range_balancer.cc
@@ -9,55 +9,63 @@
 namespace {
 
 constexpr Duration kWindow{250'000};
-/// Weights of the newest window in the slow mean and in the fast one.
+/// Weights of the newest window in the slow and in the fast moving average.
 constexpr float kSlowMeanWeight = 0.1F;
 constexpr float kFastMeanWeight = 0.5F;
-/// Requests a second of one key, or of a block of keys, that count by the fast mean.
+/// Rate, in requests per second, from which a key or a block of keys counts by the fast average.
 constexpr float kHotRate = 6.0F;
-/// Neighbours that are looked at together: a fifth of the narrowest share of 300 owners.
+/// Size of the blocks in which neighbouring keys are evaluated: a fifth of the narrowest share with
+/// 300 owners.
 constexpr std::uint32_t kBlockKeys = 64;
-/// Over what time the fast mean looks back, and by how many standard deviations of a count over
-/// that time a block must lie above its slow mean: 2.5 lets chance move a block once in minutes.
+/// Averaging time of the fast average in seconds, and the number of standard deviations of a count
+/// over that time by which a block has to exceed its slow average. With 2.5, random variation moves
+/// a block once in several minutes.
 constexpr double kFastSeconds = 0.75;
 constexpr double kDeviations = 2.5;
-/// The same of an owner that is to give keys away. Less, since waiting for certainty while queues
-/// stand costs more than a needless move: 2.5 lost 0.009 on a day of high load.
+/// The same number for an owner that is to release keys. It is lower, because waiting for certainty
+/// while queues build up costs more than a needless move: with 2.5, the result on a day of high
+/// load was 0.009 lower.
 constexpr double kMoveDeviations = 1.0;
-/// Over what time the slow mean looks back: ten windows.
+/// Averaging time of the slow average in seconds: ten windows.
 constexpr double kSlowSeconds = 2.5;
-/// Requests a second that all keys of a service together count for by their mere number.
+/// Load, in requests per second, that is attributed to all keys of a service together for their
+/// number alone.
 constexpr double kSizeWeight = 10.0;
-/// A move needs an owner that carries so many times the mean of all.
+/// Minimum load of an owner, relative to the mean, for a move away from it.
 constexpr double kOverloaded = 1.25;
-/// And a gain of at least this part of the mean.
+/// Minimum gain of a move, relative to the mean load.
 constexpr double kGainMinimum = 0.1;
 constexpr Duration kRebalanceInterval{250'000};
-/// A hot key that moves is served by nobody for a second: not again before its faster owner made
-/// up for that several times, however the measured speeds change meanwhile.
+/// Minimum time between moves of a hot key. A moving key has no owner for about a second, so its
+/// faster owner first has to make up for that several times, even if measured speeds change
+/// meanwhile.
 constexpr Duration kHotKeyMoveInterval{8'000'000};
-/// By which another candidate must be faster to get a hot key.
+/// Factor by which another candidate has to be faster to receive a hot key.
 constexpr double kHotKeySpeedRatio = 1.2;
-/// Moves that are under way together: so many, or one for this number of candidates when that is
-/// more, since the moves that a shift of load takes grow with the owners. A quarter of 153 owners'
-/// was tried: five times the moves, and more requests that found no owner.
+/// Maximum concurrent moves: this minimum, or one for this number of candidates if that is more,
+/// because the moves that a shift of load needs grow with the number of owners. A limit of a
+/// quarter of 153 owners gave five times the moves, and more requests that found no owner.
 constexpr std::size_t kMovesMinimum = 8;
 constexpr std::size_t kCandidatesPerMove = 16;
-/// The same from owners that carry so many times the mean: a crowd came to a few hundred
-/// neighbouring keys, which one owner has. It takes as many moves as owners that share the crowd,
-/// and until they are made its requests stand in one queue.
+/// Load relative to the mean from which an owner counts as a hot spot, and the limit of concurrent
+/// moves for these. A hot spot on a few hundred neighbouring keys hits one owner. Spreading it
+/// takes as many moves as there are owners to share it, and until then its requests wait in one
+/// queue.
 constexpr double kHotSpotOverload = 2.0;
 constexpr std::size_t kCandidatesPerHotSpotMove = 3;
-/// Up to so many ranges, or so many for each candidate when that is more, moves and losses cut the
-/// keys into further pieces; beyond it, ranges move as a whole. Each range is renewed by a call of
-/// its own and looked at by every decision: without a bound 385 owners' ranges became over 1,250
-/// within 16 s of 62 moves a second, whose renewals alone took what a leader has of a third of a
-/// core.
+/// Number of ranges, in all or for each candidate if that is more, up to which moves and losses of
+/// owners may cut ranges; above it, ranges move as a whole. Each range is renewed by a call of its
+/// own and evaluated in every decision. Without a limit, 62 moves a second turned 385 owners'
+/// ranges into more than 1,250 within 16 s, and their renewals alone used all that a leader with a
+/// third of a core has.
 constexpr std::size_t kRangesMinimum = 256;
 constexpr std::size_t kRangesPerCandidate = 2;
-/// From an owner's heartbeat whose answer takes keys away until their work has ended and it says
-/// so: a heartbeat each 100 ms, and requests that run for some hundred.
+/// Time from an owner's heartbeat whose answer revokes keys until their requests have ended and the
+/// owner reports the release: one heartbeat interval of 100 ms, and requests that run for some
+/// hundred milliseconds.
 constexpr Duration kReleaseTime{250'000};
-/// A candidate with this part of the most room may be chosen for its earlier heartbeat.
+/// Part of the largest free capacity that a candidate needs to be preferred for its earlier
+/// heartbeat.
 constexpr double kRoomPartMinimum = 0.6;
 
 std::size_t MovesMaximum(const std::vector<RangeCandidate>& candidates) {
@@ -68,8 +76,8 @@
   return std::max(kMovesMinimum, candidates.size() / kCandidatesPerHotSpotMove);
 }
 
-/// Whether a range is on its way to the owner that a move chose. Spans that are released because
-/// their owners leave are not: at hundreds of owners some always are.
+/// Whether a range is moving to a chosen successor. Spans that are released because their owners
+/// leave do not count: with hundreds of owners there are always some.
 bool IsMoving(const traffic::KeyRange& range) {
   return range.phase == traffic::RangePhase::kReleasing && !range.successor.Empty();
 }
@@ -121,7 +129,8 @@
   const Duration length = now - load.window_start;
   if (length < kWindow) return;
   const auto seconds = static_cast<float>(std::chrono::duration<double>(length).count());
-  // The first windows count alike: a mean of few is worth more than its newest.
+  // The first windows have equal weights, because an average of few windows is more accurate than
+  // the newest one.
   const float newest = std::max(kSlowMeanWeight, 1.0F / static_cast<float>(load.windows + 1));
   load.hot.clear();
   for (std::uint32_t key = 0; key <= traffic::kLastKey; ++key) {
@@ -211,7 +220,7 @@
 
 std::vector<RangeCandidate> RangeBalancer::LeastLoaded(
     const LoadByOwner& loads, const std::vector<RangeCandidate>& candidates, std::size_t count) {
-  std::vector<std::pair<double, std::size_t>> places;  // The load of a slot, and which candidate.
+  std::vector<std::pair<double, std::size_t>> places;  // Load per slot, and index of the candidate.
   for (std::size_t index = 0; index < candidates.size(); ++index) {
     const auto found = loads.find(candidates[index].id);
     const double load = found == loads.end() ? 0.0 : found->second;
@@ -236,7 +245,7 @@
 
 std::optional<traffic::KeySpan> RangeBalancer::PieceOf(const traffic::KeyRange& range,
                                                        double wanted) const {
-  // From the end with the hotter keys: the narrower piece carries the same.
+  // Cuts from the end with the hotter keys: a narrower piece carries the same load.
   const auto grow = [&](bool from_start) -> std::optional<traffic::KeySpan> {
     double carried = 0;
     std::uint32_t keys = 0;
@@ -282,8 +291,8 @@
   return moves;
 }
 
-/// The move from the busiest candidate to the one with most room; `ranges` then stand as after it.
-/// None when the busiest carries less than `overload` times the mean.
+/// Plans a move from the candidate with the most load to one with free capacity, and updates
+/// `ranges` as if it had been made. None when the highest load is below `overload` times the mean.
 std::optional<traffic::RangeRelease> RangeBalancer::NextMove(
     const ServiceName& service, traffic::KeyRangeTable::Ranges& ranges,
     const std::vector<RangeCandidate>& candidates, LoadByOwner& loads, double overload,
@@ -308,7 +317,8 @@
   const double most_room = room_of(
       *std::max_element(candidates.begin(), candidates.end(),
                         [&](const auto& a, const auto& b) { return room_of(a) < room_of(b); }));
-  // Among those with room, the one that comes for the keys soonest after their release.
+  // Among the candidates with enough free capacity, prefers the one whose heartbeat follows the
+  // release soonest.
   const Instant released = heaviest->NextHeartbeatFrom(now) + kReleaseTime;
   const RangeCandidate* next = nullptr;
   for (const RangeCandidate& candidate : candidates) {
--- a/src/control/range_controller.cc
+++ b/src/control/range_controller.cc
@@ -13,39 +13,42 @@
 using traffic::KeyRange;
 using traffic::RangePhase;
 
-/// How often the state is looked at without an event: liveness and balance change by themselves.
+/// Interval of decisions without an event: liveness and load balance change with time.
 constexpr Duration kDecisionInterval{100'000};
-/// A pass over the fleet is not made again before so much time for each range and instance that it
-/// looked at, whatever happens meanwhile: what came of it is decided together. A look takes half a
-/// microsecond of a core, so that decisions take a twentieth of one at the most, however many
-/// events call for them. Without it, the second in which 126 of 901 instances left took 1.8 s of a
-/// core (scratch measurement of the deciding thread); a pass then follows 22 ms after the one
-/// before, with 33 instances after 1 ms.
+/// Minimum pause after a pass over the fleet for each range and instance that it evaluated, so that
+/// events in between are decided together. An evaluation takes half a microsecond of a core, so
+/// decisions take at most a twentieth of a core, however many events require them. Without the
+/// pause, the second in which 126 of 901 instances left took 1.8 s of a core, measured on the
+/// deciding thread; with it, a pass follows 22 ms after the previous one, and 1 ms with 33
+/// instances.
 constexpr Duration kPausePerItem{10};
-/// Orders that go out at once, or this part of all ranges when that is more, and the pause until
-/// the next ones. An order and its answer take 0.2 ms of a core: orders for hundreds of ranges, as
-/// a new leader has, leave most of it to other duties, and all are out within 16 pauses.
+/// Number of orders sent at once (or this fraction of all ranges, 1/16, if that is more), and the
+/// pause until the next ones. An order and its answer take 0.2 ms of a core: orders for hundreds of
+/// ranges, as a new leader sends, leave most of the core to other work, and all are sent within 16
+/// pauses.
 constexpr std::size_t kOrdersAtOnce = 16;
 constexpr Duration kOrdersPause{12'000};
-/// How long the sequence of an instance that is gone is kept: longer than a heartbeat may be late.
+/// Retention of the heartbeat record of an instance that is gone: longer than a heartbeat may be
+/// late.
 constexpr Duration kHeartbeatStatusRetention = 6 * kHeartbeatLateMaximum;
-/// Part of an owner's capacity up to which a hot key's requests are let in: somewhat more than all
-/// of it, so that it stays full though they come unevenly.
+/// Load admitted for a hot key, relative to its owner's capacity: slightly above 1, so that the
+/// owner stays fully used although requests arrive unevenly.
 constexpr double kTargetUtilization = 1.1;
-/// Instances among which the keys of one that is gone are divided.
+/// Maximum instances among which the keys of a lost instance are divided.
 constexpr std::size_t kSuccessorsMaximum = 3;
-/// An owner that names a limit is to carry this part of it: what comes by chance beyond the mean
-/// still finds tokens.
+/// Target load of an owner that reports a rate limit, relative to that limit: requests that by
+/// chance exceed the mean still find tokens.
 constexpr double kOwnedPartOfLimit = 0.6;
-/// Bounds of what such an owner's slots are worked out from, in requests a second and in slots.
+/// Lower bounds in computing such an owner's slots: load per slot in requests per second, and
+/// slots.
 constexpr double kLoadOfSlotMinimum = 0.01;
 constexpr double kSlotsMinimum = 0.02;
 
-/// A part of a span for one of many: neighbours get parts that lie apart, and many are spread
-/// evenly.
+/// Returns a part of a time span by number, to stagger work: neighbouring numbers get distant
+/// parts, and many numbers are spread evenly.
 Duration StaggeredPart(Duration span, std::size_t number) {
   constexpr std::size_t kParts = 16;
-  constexpr std::size_t kStep = 7;  // Has no divisor in common with the parts.
+  constexpr std::size_t kStep = 7;  // Coprime to kParts.
   return span * static_cast<std::int64_t>(1 + number * kStep % kParts) / kParts;
 }
 
@@ -65,8 +68,8 @@
       liveness_(liveness),
       limits_(limits),
       last_number_(last_used) {
-  // Former leaders may have granted anything up to the end of their leases, which ended before this
-  // election.
+  // Former leaders may have granted leases up to the end of their leader leases, which ended before
+  // this election.
   UpdateLeaseForms(now);
   for (const auto& [service, ranges] : state_.ranges().services()) {
     const bool by_heartbeat = LeasedByHeartbeat(service);
@@ -111,14 +114,15 @@
 bool RangeController::GrantUnderWay(const KeyRange& range) const {
   return std::any_of(open_.begin(), open_.end(), [&](const auto& entry) {
     const OpenOrder& open = entry.second;
-    // By the keys: the range may have another fence or other ends than when the grant was sent.
+    // Compares the keys, because the range may have another fence or other ends than when the grant
+    // was sent.
     return open.order.kind == RangeOrder::Kind::kGrant && open.order.instance == range.owner &&
            open.service == range.service && open.order.span.Overlaps(range.span);
   });
 }
 
-/// Keeps what is known of ranges that are still the same; what was cut or joined begins anew with
-/// an order at once, which is harmless.
+/// Keeps the records of unchanged ranges. A range that was split or merged starts with a new record
+/// and an early order, which is harmless.
 void RangeController::SyncRanges(Instant now) {
   AddEvaluations(range_status_.size());
   std::map<RangeKey, RangeStatus> synced;
@@ -134,8 +138,8 @@
         status.fence = range.fence;
         status.last = range.span.last;
         status.since = now;
-        // A piece of a range whose grant stands need not be renewed before its time. A new leader
-        // renews all within that time, one after the other.
+        // A piece of a range with a valid grant need not be renewed before its time. A new leader
+        // spreads the renewals of all ranges over that time.
         const bool stands = range.phase == RangePhase::kServing;
         const Duration within = options_.renewal_interval / 4;
         status.next_order = stands ? now + StaggeredPart(within, synced.size()) : now;
@@ -195,7 +199,7 @@
     failing_since_.emplace(open.order.instance, now);
   }
   RangeStatus* const status = StatusOf(open);
-  // A renewal that went well gives nothing new to decide: the most common result by far.
+  // A successful renewal, by far the most common result, requires no decision.
   const bool plain_renewal = grant && done && status != nullptr && status->confirmed;
   if (!plain_renewal) decide_due_ = orders_due_ = now;
   if (status == nullptr) return;
@@ -204,8 +208,8 @@
     status->next_order = now + options_.retry_interval;
     status->refused = status->refused || (refused && grant);
   } else if (grant) {
-    // What was given or taken over together is not renewed together for good: 385 renewals at the
-    // same instant take a fifth of a second with a third of a core, as long as a leader lease.
+    // Spreads the renewals of ranges that were granted or inherited together: 385 renewals at the
+    // same time take a fifth of a second with a third of a core, as long as a leader lease.
     const Duration first = options_.renewal_interval / 2;
     status->next_order =
         now + (status->confirmed ? options_.renewal_interval
@@ -236,7 +240,7 @@
   for (const auto& [service, ranges] : state_.ranges().services()) {
     for (const auto& [key, rate] : balancer_.HotKeys(service)) {
       const KeyRange* const range = state_.ranges().Find(service, key);
-      // On its way to another owner, a key is waited for.
+      // Requests for a key that is moving wait for its next owner.
       if (range == nullptr || range->phase != RangePhase::kServing) continue;
       const auto capacity = CapacityOf(*range);
       if (!capacity || rate <= *capacity * kTargetUtilization) continue;
@@ -259,9 +263,9 @@
   if (range.phase == RangePhase::kUnowned || status.released) return true;
   if (HasEnded(range.owner)) return true;
   if (status.open_order || now <= GrantEndOf(range) || GrantUnderWay(range)) return false;
-  // Without an answer for the length of a lease, the owner holds nothing more.
+  // An owner that got no answer for the length of a lease holds nothing.
   if (LeasedByHeartbeat(range.service)) return !AwaitsFirstLease(range, status, now);
-  // An owner that only missed renewals gets its keys again by the next one.
+  // An owner that only missed renewals receives its keys again with the next one.
   return !range.Owned() || status.refused || Unresponsive(range.owner, now);
 }
 
@@ -272,18 +276,19 @@
 
 std::string RangeController::ReassignmentReason(const KeyRange& range,
                                                 const RangeStatus& status) const {
-  if (range.phase == RangePhase::kUnowned) return "nobody owns them";
+  if (range.phase == RangePhase::kUnowned) return "the keys have no owner";
   if (status.released) return status.handover.empty() ? "released" : "released with a handover";
-  if (status.refused) return "the fence was refused";
+  if (status.refused) return "the owner refused the fence";
   if (replaced_.contains(range.owner)) return "another process answered at its address";
   const bool displaced = EndIsProven(state_.instances(), liveness_, range.owner);
-  return displaced ? "another instance reported from its address" : "the last lease ran out";
+  return displaced ? "another instance reported from its address" : "the last lease expired";
 }
 
 bool RangeController::HasEnded(const traffic::InstanceId& instance) const {
   const auto replaced = replaced_.find(instance);
   if (replaced == replaced_.end()) return EndIsProven(state_.instances(), liveness_, instance);
-  // Whoever is heard of for so long after that answer lives: the answer was wrong.
+  // An instance that still sends heartbeats this long after that answer is running: the answer was
+  // wrong.
   return !liveness_.HeardSince(instance, replaced->second + kHeartbeatLateMaximum);
 }
 
@@ -365,7 +370,7 @@
                                     std::vector<RangeCandidate>& candidates) const {
   const auto ranges = state_.ranges().services().find(service);
   if (ranges == state_.ranges().services().end()) return;
-  double load_elsewhere = 0;  // Of those that take what comes.
+  double load_elsewhere = 0;  // Load of the candidates without a limit.
   double slots_elsewhere = 0;
   std::map<traffic::InstanceId, double> bounds;
   for (const RangeCandidate& candidate : candidates) {
@@ -392,7 +397,7 @@
 bool RangeController::Unresponsive(const traffic::InstanceId& instance, Instant now) const {
   const auto failing = failing_since_.find(instance);
   if (failing == failing_since_.end()) return false;
-  // One heartbeat since then may have been sent before the instance ended.
+  // One heartbeat received since then may have been sent before the instance ended.
   const bool still_heard =
       liveness_.HeardSince(instance, failing->second) && !liveness_.Silent(instance, now);
   return now - failing->second > options_.unresponsive_after && !still_heard;
@@ -414,11 +419,11 @@
     AddEvaluations(ranges.size());
     for (const auto& [first, range] : ranges) {
       RangeStatus& status = range_status_.at({service, first});
-      // An owner that refused may still hold a part by an older grant: only to itself may the keys
-      // go again at once.
+      // An owner that refused an order may hold a part of the range by an older grant: only that
+      // owner may receive the keys again at once.
       const bool back_to_owner = status.refused && Contains(candidates, range.owner);
       if (!back_to_owner && !CanReassign(range, status, now)) continue;
-      // Nobody ever had these keys: wait until the servers are all there.
+      // The keys have never been assigned: wait until the servers have registered.
       if (range.fence.value == 0 && !Settled(service, candidates, now)) continue;
       const bool may_cut = RangeBalancer::MayCut(ranges, candidates);
       auto parts = NextOwners(range, status, candidates, may_cut ? kSuccessorsMaximum : 1, loads);
@@ -486,8 +491,8 @@
   const traffic::Instance* owner = state_.instances().Find(range.owner);
   const bool ended = owner == nullptr || HasEnded(range.owner);
   if (range.phase == RangePhase::kUnowned || ended || status.released) return std::nullopt;
-  // A displaced owner gets no grant. It is asked to release once that is decided: its answer, or
-  // another process's, tells whether it lives.
+  // A displaced owner receives no grant. It receives a release order once the release is decided:
+  // the answer, from it or from another process, shows whether it still runs.
   if (range.Owned() && owner->state == InstanceState::kDisplaced) return std::nullopt;
   RangeOrder order;
   order.instance = range.owner;
@@ -498,10 +503,11 @@
     order.kind = RangeOrder::Kind::kRelease;
     order.limit = options_.release_limit;
   } else {
-    // The same fence would be refused again: the range waits for its next assignment.
+    // An order under the same fence would be refused again: the range waits for its next
+    // assignment.
     if (status.refused) return std::nullopt;
-    // Each grant that may have arrived puts off the end of what the owner may hold, so that one
-    // that seems gone gets no more.
+    // Each grant that may have arrived extends the time for which the owner may hold the range, so
+    // an unresponsive owner receives none.
     if (Unresponsive(range.owner, now)) return std::nullopt;
     order.hold = options_.hold;
     order.handover = range.handover;
--- a/src/control/range_releases.cc
+++ b/src/control/range_releases.cc
@@ -1,6 +1,6 @@
 /// @file
-/// The range controller's planned releases: of owners that leave or fail, of owners in drained
-/// zones, and for the balance of load.
+/// The range controller's planned releases: from owners that leave or fail, from owners in drained
+/// zones, and for load balance.
 
 #include <algorithm>
 
@@ -13,15 +13,15 @@
 using traffic::KeyRange;
 using traffic::RangePhase;
 
-/// Where more than this part of a service's instances fail, the cause is a common one, and moving
-/// keys would only add load to the rest.
+/// If more than this part of a service's instances fail, the cause is common to them, and moving
+/// keys would only add load to the others.
 constexpr double kFailingPartMaximum = 0.2;
-/// The same of instances that asked for rest. More than of those that fail: they say themselves
-/// that they will run nothing, and the others that they would.
+/// The same limit for instances that asked routers to back off. It is higher, because these
+/// instances declare that they will run nothing, while failing ones still accept requests.
 constexpr double kBackingOffPartMaximum = 0.4;
-/// Key ranges of a drained zone that are released together: so many, or one for this number of
-/// owners elsewhere when that is more. A range is without an owner for about 0.8 s, and the zones'
-/// owners have some three ranges each: a third of the owners are left within 3 s.
+/// Maximum concurrent releases of a drained zone's key ranges: this minimum, or one for this number
+/// of owners elsewhere if that is more. A range has no owner for about 0.8 s, and the zone's owners
+/// have about three ranges each: the ranges of a third of the owners are released within 3 s.
 constexpr std::size_t kZoneReleasesMinimum = 8;
 constexpr std::size_t kOwnersPerZoneRelease = 2;
 
@@ -87,15 +87,16 @@
       }
       command.releases.push_back({service, range.span, range.fence, {}});
       Note("begin_release", range, range.span,
-           must_go                           ? "the owner leaves"
-           : limits_.Rests(range.owner, now) ? "the owner asked for rest"
+           must_go                           ? "the owner is leaving"
+           : limits_.Rests(range.owner, now) ? "the owner asked routers to back off"
                                              : "the owner fails requests");
     }
     const bool by_heartbeat = LeasedByHeartbeat(service);
-    // Their release would not be known of before then, and the keys would rest for as long: their
-    // owner, though it is busy, serves them better.
+    // Until then, a release could not be confirmed, and the keys would stay unserved for as long;
+    // their owner serves them better, even if it is overloaded.
     if (by_heartbeat && now <= inherited_until_) continue;
-    // Planned beside the moves and releases under way: among hundreds of owners some always are.
+    // Planned in addition to moves and releases in progress: with hundreds of owners there are
+    // always some.
     const auto moves =
         balancer_.Rebalance(service, ranges, view.candidates, PlannedMoves(service), now);
     for (const traffic::RangeRelease& move : moves) {
--- a/src/control/replicated_state.cc
+++ b/src/control/replicated_state.cc
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Operations forgotten by one ExpireJournalCommand for each service: bounds the time of one apply.
+/// Maximum operations that one ExpireJournalCommand removes for each service; bounds the time of
+/// one apply.
 constexpr std::size_t kExpiredMaximum = 10'000;
 
 /// Runs a step that may fail and keeps its error.
@@ -20,8 +21,8 @@
   if (const Error* error = ErrorOf(result)) outcome.error = *error;
 }
 
-/// Releases that knew no tenants, those before that knew no drained zones, and those that knew no
-/// suspects, end their snapshots where these begin.
+/// Snapshots of releases before tenants, before drained zones and before suspects end where the
+/// respective field begins.
 Result<ReplicatedStateImage> DecodeImage(std::string_view bytes) {
   const std::string no_tenants = codec::Encode(traffic::TenancyImage{});
   const std::string no_drains = codec::Encode(traffic::ZoneDrainImage{}) + no_tenants;
@@ -35,8 +36,8 @@
 }
 
 Error UnknownServer(const ServerId& server) {
-  return {ErrorKind::kNotFound, "No server " + server.value + " is known.",
-          "Look the name up with `graniteseamctl fleet status`."};
+  return {ErrorKind::kNotFound, "No server " + server.value + " is registered.",
+          "List the servers with `graniteseamctl fleet status`."};
 }
 
 }  // namespace
@@ -114,7 +115,7 @@
   if (Serving(assignment.server)) {
     shards_.Assign(assignment, version());
   } else {
-    // The former owner released the shard, so it must not stay there: nobody would run it.
+    // The former owner released the shard and does not run it, so it must not keep the assignment.
     shards_.Unassign(assignment.shard, assignment.from_epoch, version());
   }
 }
@@ -138,9 +139,9 @@
     if (Serving(move.target)) begun = shards_.BeginMove(move, version()) || begun;
   }
   if (begun || command.moves.empty()) return;
-  outcome.error =
-      Error{ErrorKind::kFailedPrecondition, "The shard's owner or the target changed meanwhile.",
-            "Look at `graniteseamctl shard show` and try again."};
+  outcome.error = Error{ErrorKind::kFailedPrecondition,
+                        "The shard's owner or the target changed since the move was planned.",
+                        "Check the shard with `graniteseamctl shard show` and try again."};
 }
 
 void ReplicatedState::Run(const SetDrainingCommand& command, ApplyOutcome& outcome) {
--- a/src/control/replicated_state.h
+++ b/src/control/replicated_state.h
@@ -1,6 +1,6 @@
 /// @file
-/// The state that all members of a control group derive from the log: bundles, servers, shards and
-/// the operation journal.
+/// The state that all members of a control group derive from the log: bundles, servers, shards, the
+/// operation journal and the traffic state.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -22,14 +22,15 @@
 
 namespace graniteseam::control {
 
-/// The longest lease that a service's servers may have been granted, over all bundles in force.
+/// The longest lease that may have been granted to a service's servers, over all bundles that were
+/// in force, in milliseconds.
 struct ServiceLease {
   ServiceName service;
   std::int64_t longest_ms = 0;
 };
 BOOST_DESCRIBE_STRUCT(ServiceLease, (), (service, longest_ms))
 
-/// The whole state as a value, for snapshots.
+/// The whole state as a value, as stored in snapshots.
 struct ReplicatedStateImage {
   LogIndex applied;
   bundle::BundleStoreState bundles;
@@ -46,31 +47,33 @@
                       (applied, bundles, servers, shards, journal, leases, traffic, suspects,
                        zone_drains, tenants))
 
-/// What applying one entry came to.
+/// The effects of applying one entry.
 struct ApplyOutcome {
-  std::optional<Error> error;                  ///< The command was refused.
-  std::vector<operation::ClaimResult> claims;  ///< Of a JournalCommand.
-  std::vector<ServerId> registered;            ///< Servers to be admitted to leases.
-  std::vector<ServerId> lost;                  ///< Servers whose session ended.
-  std::vector<ServerId> removed;               ///< Servers that are not known any more.
+  std::optional<Error> error;                  ///< Set when the command was refused.
+  std::vector<operation::ClaimResult> claims;  ///< Results of a JournalCommand.
+  std::vector<ServerId> registered;  ///< Servers that were registered and may receive leases.
+  std::vector<ServerId> lost;        ///< Servers whose session ended.
+  std::vector<ServerId> removed;     ///< Servers whose records were removed.
   bool bundle_rolled = false;
-  /// The command was one for the traffic configuration, and was accepted now or before.
+  /// A traffic configuration command was accepted, now or on an earlier attempt.
   bool configuration_accepted = false;
-  bool configuration_changed = false;  ///< It brought another one.
+  bool configuration_changed = false;  ///< The traffic configuration changed.
 };
 
 /// Applies committed entries in order.
 ///
-/// Deterministic: the same entries give the same state on each member, whatever its settings and
-/// clock. An entry that does not decode is a defect or a newer program's; it is refused, which is
-/// the same on each member that runs this version. Not thread safe.
+/// Deterministic: the same entries give the same state on every member, independent of its settings
+/// and clock. An entry that does not decode comes from a defect or a newer version; it is refused,
+/// which gives the same state on all members that run this version. Not thread safe.
 class ReplicatedState {
  public:
-  /// Applies the entry after applied().
+  /// Applies the entry that follows applied().
   ApplyOutcome Apply(const consensus::LogEntry& entry);
 
-  /// Encodes the whole state.
+  /// Encodes the whole state for a snapshot.
   std::string Save() const;
+  /// Replaces the state by an encoded one.
+  /// @return kMalformedMessage when the bytes are not a complete and consistent state.
   /// @return kMalformedMessage when the bytes are not a whole, consistent state.
   Result<void> Restore(std::string_view bytes);
 
@@ -111,11 +114,11 @@
   void Run(const ClearSuspectsCommand& command, ApplyOutcome& outcome);
   void Run(const DrainZoneCommand& command, ApplyOutcome& outcome);
 
-  /// Takes over what a newly rolled bundle says about services.
+  /// Applies the service definitions of a newly rolled bundle.
   void AdoptServices(const bundle::Bundle& bundle);
-  /// Gives a shard to a serving server, or to nobody when the server is gone meanwhile.
+  /// Assigns a shard to a serving server, or to none if the server is no longer serving.
   void Assign(const placement::Assignment& assignment);
-  /// Gives a restarted server's shards back to it, or to their move's target, at a new epoch.
+  /// Reassigns a restarted server's shards to it, or to the targets of their moves, at new epochs.
   void Reassign(const ServerId& server);
   bool Serving(const ServerId& server) const;
   /// The log index being applied, as a version.
--- a/src/control/router_registry.cc
+++ b/src/control/router_registry.cc
@@ -3,14 +3,16 @@
 namespace graniteseam::control {
 namespace {
 
-/// A router that was not heard of for so long has no part in the group's budgets any more. Longer
-/// than routers' budgets look back, so that what a lost one spent is not spent again.
+/// A router that has not polled for this long no longer takes part in the group's budgets. Longer
+/// than the time that routers' budgets look back, so that what a lost router spent is not spent
+/// again.
 constexpr Duration kRouterRetention{15'000'000};
-/// By then every router has found a new leader.
+/// Time in which every router discovers a new leader.
 constexpr Duration kDiscoveryTime{3'000'000};
-/// Routers share budgets over seconds: a count that is so old is good enough for them.
+/// Interval between recounts. Routers share budgets over seconds, so that a count of this age is
+/// accurate enough.
 constexpr Duration kCountInterval{100'000};
-/// Names that are remembered; a router that comes beyond them has no place of its own.
+/// Maximum routers that are tracked; further ones get no index of their own.
 constexpr std::size_t kRoutersMaximum = 16'384;
 
 }  // namespace
@@ -22,7 +24,7 @@
     return;
   }
   if (routers_.size() >= kRoutersMaximum) return;
-  // Behind the others until the next count.
+  // Indexed after the others until the next recount.
   routers_[router] = {now, count_++};
 }
 
--- a/src/control/router_registry.h
+++ b/src/control/router_registry.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which routers there are at present, by their polls.
+/// The active routers, derived from their polls.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +10,24 @@
 
 namespace graniteseam::control {
 
-/// Places are worked out anew at intervals: a poll of each of a thousand routers must not look at
-/// all of them. Not thread safe; `now` never goes back.
+/// Indexes are recomputed at intervals, so that a poll of each of a thousand routers does not
+/// iterate over all of them. Not thread safe; `now` never decreases.
 class RouterRegistry {
  public:
+  /// @param now start of the leadership: routers take a moment to discover it.
   /// @param now the start of the leadership: routers take a moment to find it.
   explicit RouterRegistry(Instant now) : start_(now) {}
 
+  /// Records that a router polled.
   void RecordPoll(const RouterId& router, Instant now);
 
-  /// Routers that were heard of lately; 0 while a new leader may not have heard of all.
+  /// Number of routers that polled recently; 0 while a new leader may not have received a poll from
+  /// all.
   std::uint32_t Count(Instant now);
-  /// A router's place among those, from 0 on, by their ids.
+  /// Index of a router among these, ordered by id, from 0.
   std::uint32_t IndexOf(const RouterId& router, Instant now);
 
-  /// Routers looked at so far, each as often as it was.
+  /// Number of router records evaluated so far; the cost of recounting.
   std::uint64_t router_evaluations() const { return router_evaluations_; }
 
  private:
--- a/src/control/router_sessions.cc
+++ b/src/control/router_sessions.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A router not heard of for this many leases is gone.
+/// Number of lease lengths without a renewal after which a router is no longer listed.
 constexpr int kRetentionInLeases = 60;
 
 }  // namespace
@@ -30,7 +30,7 @@
   session.bundle_version = renewal.bundle_version;
   session.last_renewal = now;
   Report(renewal, now);
-  // The rule that keeps an old bundle from being applied: no lease without the newest.
+  // Prevents the use of an old bundle: only a router with the newest one gets a lease.
   session.granted = renewal.bundle_version == state_.bundles().in_force_version();
   if (DefectOn(Defect::kOldBundleAccepted) && renewal.bundle_version.value > 0) {
     session.granted = true;
@@ -51,8 +51,9 @@
 
 void RouterSessions::CheckMapVersion(std::uint64_t connection, const RouterRenewal& renewal,
                                      Session& session) const {
-  // Over one connection updates arrive in order, so what was sent counts as known. A new
-  // connection, or a router that shows less than it must have by now, begins at what it shows.
+  // Updates arrive in order over one connection, so what was sent counts as received. After a new
+  // connection, or if a router reports an older version than it must have received, updates restart
+  // from the reported version.
   const bool same_connection = session.connection == connection;
   if (!same_connection || renewal.map_version < session.expected_map_version) {
     session.sent_map_version = renewal.map_version;
--- a/src/control/router_sessions.h
+++ b/src/control/router_sessions.h
@@ -1,6 +1,7 @@
 /// @file
-/// The control leader's side of router leases: a router is granted one only while it shows the
-/// newest bundle, and gets the routing table's changes and its allotments with it.
+/// The control leader's side of router leases. A router is granted a lease only while it reports
+/// the newest bundle; the answer also carries changes of the routing table and the router's
+/// allotments.
 #pragma once
 
 #include <cstdint>
@@ -17,24 +18,29 @@
 
 namespace graniteseam::control {
 
-/// All routers that spoke to this leader in this term. Not thread safe; deterministic.
+/// The sessions of all routers that contacted this leader in this term. Not thread safe;
+/// deterministic.
 class RouterSessions {
  public:
   RouterSessions(Duration router_lease, const ReplicatedState& state)
       : router_lease_(router_lease), state_(state) {}
 
-  /// Answers a renewal. @param connection where later changes of the table are pushed.
+  /// Answers a renewal.
+  /// @param connection the connection to which later changes of the routing table are pushed.
   RouterRenewalAnswer Renew(std::uint64_t connection, const RouterRenewal& renewal, Instant now);
 
-  /// Changes of the routing table for routers that hold a lease, each at most once. They repeat the
-  /// grant of the router's last renewal and so extend nothing.
+  /// Returns changes of the routing table for routers that hold a lease, each change at most once.
+  /// They repeat the grant of the router's last renewal and do not extend its lease.
   std::vector<std::pair<std::uint64_t, RouterRenewalAnswer>> Push(Instant now);
 
+  /// Stops pushing changes to a closed connection.
   void Disconnect(std::uint64_t connection);
 
-  /// Takes the groups and capacities of the bundle in force and of the servers as they are.
+  /// Applies the groups and capacities of the bundle in force and of the servers that accept new
+  /// work.
   void SyncState();
 
+  /// The bundle version of each active router, and the age of its last renewal.
   std::vector<ProcessVersion> Versions(Instant now) const;
 
  private:
@@ -43,9 +49,10 @@
     std::uint64_t sequence = 0;
     bool granted = false;
     BundleVersion bundle_version;
-    std::uint64_t sent_map_version = 0;      ///< Newest sent over `connection`.
-    std::uint64_t answered_map_version = 0;  ///< Sent up to the last answer...
-    std::uint64_t expected_map_version = 0;  ///< ...and up to the one before: the router has it.
+    std::uint64_t sent_map_version = 0;      ///< Newest version sent over `connection`.
+    std::uint64_t answered_map_version = 0;  ///< Version sent up to the last answer.
+    /// Version sent up to the answer before that, which the router has received.
+    std::uint64_t expected_map_version = 0;
     Instant last_renewal{};
   };
 
--- a/src/control/shard_assigner.h
+++ b/src/control/shard_assigner.h
@@ -1,6 +1,6 @@
 /// @file
-/// Chooses owners for shards that have none, that are leaving a drained server, or whose owner's
-/// lease is over. Balances by the number of shards; moves by load are the planner's.
+/// Chooses owners for shards that are unassigned, that a drained server releases, or whose owner's
+/// lease has expired. Balances by the number of shards; LoadBalancer plans moves by load.
 #pragma once
 
 #include <cstddef>
@@ -15,42 +15,43 @@
 
 namespace graniteseam::control {
 
-/// Tells whether a server answered lately enough to be given shards.
+/// Returns whether a server has answered recently enough to receive shards.
 using HealthCheck = std::function<bool(const ServerId&)>;
 
-/// Shards promised to servers by commands that are not applied yet.
+/// Number of shards assigned to each server by commands that are not applied yet.
 using PendingAssignments = std::map<ServerId, std::size_t>;
 
-/// Hands out the servers of one service, the one with the fewest shards first.
+/// Chooses servers of one service, the one with the fewest shards first.
 ///
-/// Building it costs one pass over the servers; each choice the logarithm of their number.
+/// Construction takes one pass over the servers; each choice takes time logarithmic in their
+/// number.
 class TargetChooser {
  public:
-  /// Takes the service's servers that accept new work and are healthy.
+  /// Collects the service's servers that accept new work and are healthy.
   TargetChooser(const ReplicatedState& state, const HealthCheck& healthy,
                 const PendingAssignments& pending, const ServiceName& service);
 
-  /// Chooses the server with the fewest shards and counts one more for it; nullopt without any.
+  /// Returns the server with the fewest shards and adds one to its count; nullopt if there is none.
   std::optional<ServerId> Next();
-  /// Whether the server is among those that may be chosen.
+  /// Whether the server may be chosen.
   bool Contains(const ServerId& server) const;
   bool empty() const { return heap_.empty(); }
-  /// Whether servers were left out only because they did not answer lately.
+  /// Whether servers were excluded only because they have not answered recently.
   bool has_unhealthy() const { return has_unhealthy_; }
 
  private:
   struct Candidate {
     std::size_t shards = 0;
-    const ServerId* server = nullptr;  ///< Key of the registry's map, which is stable.
+    const ServerId* server = nullptr;  ///< Points to a key of the registry's map, which is stable.
   };
-  /// Orders a heap so that the fewest shards are on top; ties by name, for determinism.
+  /// Heap order with the fewest shards on top; ties are ordered by server id, for determinism.
   static bool Worse(const Candidate& left, const Candidate& right);
 
   std::vector<Candidate> heap_;
   bool has_unhealthy_ = false;
 };
 
-/// The choosers of one round of decisions, so that each choice counts for all later ones.
+/// The choosers of one Decide(), so that each choice counts for all later ones.
 class TargetChoosers {
  public:
   TargetChoosers(const ReplicatedState& state, const HealthCheck& healthy,
@@ -66,13 +67,13 @@
   std::map<ServiceName, TargetChooser> choosers_;
 };
 
-/// Assignments for all shards that the server owns, whose lease is over. A shard that is moving
-/// goes to its target. Shards without a candidate are left out.
+/// Assigns all shards of a server whose lease has expired. A moving shard goes to its target if
+/// that may be chosen. Shards without a candidate are omitted.
 std::vector<placement::Assignment> AssignShardsOf(const ServerId& lost,
                                                   const ReplicatedState& state,
                                                   TargetChoosers& choosers);
 
-/// Moves that empty a server which takes no new work, `moves_maximum` at most.
+/// Plans at most `moves_maximum` moves away from a server that accepts no new work.
 std::vector<placement::PlannedMove> DrainShardsOf(const ServerId& server,
                                                   const ReplicatedState& state,
                                                   TargetChoosers& choosers,
--- a/src/control/state_feed.cc
+++ b/src/control/state_feed.cc
@@ -7,16 +7,18 @@
 namespace graniteseam::control {
 namespace {
 
-/// Messages a second that pushes may take, so that a process has time for its other duties: a
-/// change that goes to 300 routers is 300 messages. With so many, changes are told each 30 ms; with
-/// ten, each millisecond.
+/// Maximum messages per second for pushes, so that a process has time for its other work: a change
+/// sent to 300 routers is 300 messages. With 300 routers, changes are pushed every 30 ms; with ten,
+/// every millisecond.
 constexpr std::int64_t kPushesPerSecond = 10'000;
-/// A message is made by looking at all instances and ranges, and taking it costs each router as
-/// well. With 20,000 of them, changes are told each 100 ms at most, however few routers there are.
+/// Minimum push interval for each instance and range. Building a message iterates over all of them,
+/// and processing it costs every router as well. With 20,000 of them, changes are pushed at most
+/// every 100 ms, however few routers there are.
 constexpr Duration kPushIntervalPerItem{5};
-/// What routers need not know at once waits so long for what they must.
+/// Delay after the last push of changes that are not urgent, so that they are sent together with
+/// urgent ones.
 constexpr Duration kDeferrableUpdateDelay{250'000};
-/// Without word that a push has left, the next one goes out all the same after this.
+/// If no report arrives that a push was sent, the next one is sent after this time.
 constexpr Duration kPushConfirmationTimeout{500'000};
 
 }  // namespace
--- a/src/control/state_feed.h
+++ b/src/control/state_feed.h
@@ -1,5 +1,5 @@
 /// @file
-/// Brings routers the traffic state and its changes as this process has applied them.
+/// Sends routers the traffic state and its changes as applied by this process.
 #pragma once
 
 #include <cstdint>
@@ -13,66 +13,71 @@
 namespace graniteseam::control {
 
 struct StateFeedOptions {
-  /// Whether PushSent() will be called for each push.
+  /// Whether the driver calls PushSent() after each push.
   bool reports_push_completion = false;
-  /// Whether all changes are brought in the end, and not only those that routers must know at once.
-  /// Otherwise they ask for the rest.
+  /// Whether all changes are pushed eventually, and not only the urgent ones. Otherwise routers
+  /// request the rest.
   bool pushes_all_changes = false;
 };
 
-/// Any member of the group may do this: what it has applied is committed, and a router takes no
-/// state that is older than its own. So the state reaches the routers of a zone from a member of
-/// that zone, once across the zones and not once for each router.
+/// Pushes the traffic state to subscribed routers. Any member of the group may run a feed: the
+/// state that it has applied is committed, and a router ignores state that is older than its own.
+/// The routers of a zone thus receive the state from a member in that zone, and it crosses zones
+/// once instead of once for each router.
 ///
-/// Changes are pushed at once, but no faster than a process can send to all routers: what changes
-/// meanwhile goes out as one. Where the driver tells when a push has left, the next one waits for
-/// as long again as it took: pushing takes half of the time at most, however slow the process is,
-/// and what its peers are to hear waits for one push at most. Not thread safe; `now` never goes
-/// back.
+/// Changes are pushed immediately, but no faster than a process can send to all routers; changes in
+/// the meantime are sent together. If the driver reports when a push was sent, the next one waits
+/// for the same time again: pushing takes at most half of the time, however slow the process is,
+/// and messages to peers are delayed by at most one push. Not thread safe; `now` never decreases.
 class StateFeed {
  public:
   using Message = std::shared_ptr<const ControlToRouter>;
 
+  /// @param pushes_used the highest push number of earlier feeds of this process.
   /// @param pushes_used numbers of earlier feeds of this process go up to here.
   StateFeed(const traffic::TrafficState& state, StateFeedOptions options,
             std::uint64_t pushes_used = 0)
       : state_(state), options_(options), last_push_(pushes_used) {}
 
-  /// A router that has `version` is brought the changes from now on.
-  /// @return the message with what it lacks now; null when it lacks nothing.
+  /// Subscribes a router that holds `version` to the changes from now on.
+  /// @return the message with the changes since `version`; null when there are none.
   Message Subscribe(ConnectionId connection, std::uint64_t version);
-  /// The router has the newest state, as it was told or sent by other means.
+  /// Subscribes a router that holds the newest state, as it reported or as it was sent by other
+  /// means.
   void MarkCurrent(ConnectionId connection) { versions_[connection] = state_.version(); }
+  /// Ends a subscription.
   void Disconnect(ConnectionId connection) { versions_.erase(connection); }
 
-  /// What changed for each router since it was last sent something.
+  /// Returns the changes since the last message to each router; empty while the push interval
+  /// lasts.
   std::vector<RouterSend> Push(Instant now);
-  /// The number of the newest Push() that sent something.
+  /// Number of the newest Push() that sent something.
   std::uint64_t last_push() const { return last_push_; }
-  /// What that push sent has left the process.
+  /// Notifies the feed that a push has been sent completely; ignored for earlier pushes.
   void PushSent(std::uint64_t push, Instant now);
-  /// When Push() has something to send that it held back.
+  /// Time at which Push() will send changes that it held back.
   Instant NextDue() const { return held_back_ ? wait_until_ : Instant::max(); }
 
-  /// What changed since `base`; the same message for all that ask before the next change.
+  /// The changes since `base`; all callers before the next change share one message.
   Message UpdateSince(std::uint64_t base);
-  /// Messages made so far: what bringing the state costs beside sending.
+  /// Number of messages built so far: the cost of distributing the state, apart from sending.
   std::uint64_t updates_made() const { return updates_made_; }
 
  private:
+  /// Minimum time between pushes to this number of routers.
   Duration PushInterval(std::size_t routers) const;
 
   const traffic::TrafficState& state_;
   const StateFeedOptions options_;
-  std::map<ConnectionId, std::uint64_t> versions_;  ///< That each router was sent.
-  std::uint64_t updates_version_ = 0;               ///< Of the state that `updates_` lead to.
-  std::map<std::uint64_t, Message> updates_;        ///< By base.
+  std::map<ConnectionId, std::uint64_t> versions_;  ///< Version last sent to each router.
+  std::uint64_t updates_version_ = 0;               ///< State version that `updates_` lead to.
+  std::map<std::uint64_t, Message> updates_;        ///< Cached messages by base version.
   std::uint64_t updates_made_ = 0;
-  std::uint64_t pushed_version_ = 0;  ///< That every router was sent.
+  std::uint64_t pushed_version_ = 0;  ///< Version sent to every router.
   std::uint64_t last_push_;
   Instant pushed_at_{};
-  Instant push_due_{};    ///< Not pushed again earlier.
-  Instant wait_until_{};  ///< What is held back waits so long.
+  Instant push_due_{};    ///< Earliest time of the next push.
+  Instant wait_until_{};  ///< Time at which the held back changes are sent.
   bool held_back_ = false;
 };
 
--- a/src/control/traffic_leader.h
+++ b/src/control/traffic_leader.h
@@ -1,5 +1,5 @@
 /// @file
-/// A leader's duties towards traffic: liveness of instances, key ranges, routers' updates.
+/// The leader's tasks for traffic: liveness of instances, key ranges, and updates to routers.
 #pragma once
 
 #include <algorithm>
@@ -21,7 +21,8 @@
 
 namespace graniteseam::control {
 
-/// Lives as long as one leadership. Not thread safe; `now` never goes back.
+/// Combines the traffic components of one leadership and exists for its duration. Not thread safe;
+/// `now` never decreases.
 class TrafficLeader {
  public:
   TrafficLeader(const TrafficOptions& options, const ReplicatedState& state, Term term,
@@ -39,18 +40,20 @@
   RangeController& ranges() { return ranges_; }
   const RangeController& ranges() const { return ranges_; }
   TrafficSessions& sessions() { return sessions_; }
-  /// What happened with configurations and quotas since the last call.
+  /// Returns and clears the notes on configurations and quotas since the last call.
   std::vector<RolloutNote> TakeNotes() {
     std::vector<RolloutNote> notes = rollout_.TakeNotes();
     std::vector<RolloutNote> of_quotas = quotas_.TakeNotes();
     std::move(of_quotas.begin(), of_quotas.end(), std::back_inserter(notes));
     return notes;
   }
-  /// What answering routers has cost so far: routers looked at, and messages made.
+  /// Cost of answering routers so far: router records evaluated, and messages built.
   std::uint64_t evaluations() const { return sessions_.evaluations() + rollout_.looks(); }
   CrashTally& crashes() { return crashes_; }
   ConfigurationRollout& rollout() { return rollout_; }
 
+  /// Processes a router's poll and returns the messages to send, the answer among them.
+  /// @param feed address from which the router is to receive the state.
   /// @param feed where the router is to take the state from.
   std::vector<RouterSend> TakePoll(ConnectionId connection, const traffic::TrafficPoll& poll,
                                    Instant now, const std::string& feed = "") {
@@ -65,6 +68,7 @@
                           quotas_.TakePoll(poll.router, poll.quota, now));
   }
 
+  /// Grants single tokens of quotas and of instances' rate limits.
   traffic::TokenAnswer TakeTokens(const traffic::TokenRequest& request, Instant now) {
     SyncQuotaTenants(now);
     traffic::TokenAnswer answer = quotas_.TakeTokens(request, now);
@@ -74,7 +78,7 @@
     return answer;
   }
 
-  /// What routers are to be sent by themselves.
+  /// Returns messages to routers that are not answers to polls.
   std::vector<RouterSend> Push(Instant now) {
     rollout_.Look(now);
     std::vector<RouterSend> sends = sessions_.Push(now);
@@ -91,7 +95,7 @@
     return sends;
   }
 
-  /// Commands to propose; none while those before wait to be applied.
+  /// Returns commands to propose; none until the previous ones are applied.
   std::vector<CommandBody> Decide(Instant now) {
     if (state_.applied() < proposed_) return {};
     std::vector<CommandBody> commands = ranges_.Decide(now);
@@ -99,11 +103,11 @@
     crashes_.Decide(commands, now);
     return commands;
   }
-  /// The commands of the last Decide() stand in the log up to here.
+  /// Records the log index of the last command that Decide() returned.
   void Proposed(LogIndex last) { proposed_ = last; }
 
-  /// While commands wait to be applied there is nothing to decide, and what ends the wait is an
-  /// event: waking for decisions would only spin.
+  /// The next time at which Push(), Decide() or orders have work. Decisions are excluded while
+  /// commands wait to be applied: the wait ends with an event, and a timer would only spin.
   Instant NextDue() const {
     const bool waits = state_.applied() < proposed_;
     const Instant decisions = std::min(ranges_.NextDue(), crashes_.NextDue());
@@ -117,15 +121,15 @@
     quotas_.SyncTenants(store.tenancy(), store.changed_at(), now);
   }
 
-  /// How often displaced instances are looked at that turn out to live.
+  /// Interval of the check for displaced instances that are still running.
   static constexpr Duration kStaleAddressCheckInterval{1'000'000};
 
-  /// The instance that lives gets its address back.
+  /// Returns an address to the instance that is still running.
   void DeregisterStaleAddressHolders(std::vector<CommandBody>& commands, Instant now) {
     stale_address_check_due_ = now + kStaleAddressCheckInterval;
     for (Forerunner& one : Forerunners(state_.traffic().instances(), liveness_, now)) {
       commands.emplace_back(DeregisterInstanceCommand{one.id});
-      ++one.displaced.sequence;  // Newer than what is known, so that it is taken.
+      ++one.displaced.sequence;  // A higher sequence, so that the report is accepted.
       commands.emplace_back(ReportInstancesCommand{{one.displaced}});
     }
   }
--- a/src/control/traffic_sessions.cc
+++ b/src/control/traffic_sessions.cc
@@ -6,9 +6,9 @@
 namespace graniteseam::control {
 namespace {
 
-/// Messages for routers that ask for the state: so many at once, and then one in this time. One
-/// takes a look at all instances and ranges, which is 0.5 ms with 20,000 of them: a tenth of a core
-/// at the most, whoever asks.
+/// Rate limit of messages for routers that request the state: a burst, then one per interval.
+/// Building one iterates over all instances and ranges, which takes 0.5 ms with 20,000 of them: at
+/// most a tenth of a core, however many routers ask.
 constexpr std::int64_t kUpdatesAtOnce = 20;
 constexpr Duration kUpdateInterval{5'000};
 
--- a/src/control/traffic_sessions.h
+++ b/src/control/traffic_sessions.h
@@ -1,6 +1,6 @@
 /// @file
-/// The routers that poll the leader: the answers to their polls, and the state for those that have
-/// no other feed.
+/// The routers that poll the leader: answers to their polls, and the state for those without
+/// another feed.
 #pragma once
 
 #include <cstdint>
@@ -15,63 +15,70 @@
 
 namespace graniteseam::control {
 
-/// Routers take the state from a feed that the leader names to them: a member of their own zone.
-/// One that finds no feed which keeps up asks the leader for the state itself. That is bounded: a
-/// message for each router that is behind by something else would take the leader's whole time
-/// just when it has little. Polls repair what was lost. Not thread safe; `now` never goes back.
+/// Answers routers' polls. Routers receive the state from a feed that the leader assigns to them: a
+/// member in their own zone. A router that finds no feed that keeps up requests the state from the
+/// leader. The number of these messages is limited: building one for every router that is behind at
+/// a different version would take all of the leader's time when it is already overloaded. Later
+/// polls make up for lost messages. Not thread safe; `now` never decreases.
 class TrafficSessions {
  public:
+  /// @param timed whether the driver calls PushSent() after each push.
+  /// @param pushes_used the highest push number of this process's earlier leaderships.
   /// @param timed whether PushSent() will be called for each push.
   /// @param pushes_used the newest number of this process's earlier leaderships.
   TrafficSessions(const traffic::TrafficState& state, Instant now, bool timed = false,
                   std::uint64_t pushes_used = 0)
       : state_(state), feed_(state, {timed, false}, pushes_used), routers_(now) {}
 
-  /// Answers a poll. A router that asks for the state is sent what it lacks before that, in a
-  /// message of its own which names no poll: hundreds of routers that start together get the same.
-  /// @param feed where the router is to take the state from, "ip:port"; empty for nowhere.
-  /// @param quota what the answer brings of tenants' quotas.
+  /// Answers a poll. A router that requests the state is sent the missing changes first, in a
+  /// separate message that refers to no poll, so that hundreds of routers that start together share
+  /// one message.
+  /// @param feed address "ip:port" from which the router is to receive the state; empty for none.
+  /// @param quota the quota part of the answer.
   std::vector<RouterSend> Poll(ConnectionId connection, const traffic::TrafficPoll& poll,
                                Instant now, const std::string& feed = "",
                                traffic::QuotaGrant quota = {});
+  /// Removes a router whose connection was closed.
   void Disconnect(ConnectionId connection) {
     sessions_.erase(connection);
     feed_.Disconnect(connection);
     hints_pending_.erase(connection);
   }
 
-  /// What changed for each router that asked for the state here.
+  /// The changes for each router that receives the state from the leader.
   std::vector<RouterSend> Push(Instant now) { return feed_.Push(now); }
-  /// The number of the newest Push() that sent something.
+  /// Number of the newest Push() that sent something.
   std::uint64_t last_push() const { return feed_.last_push(); }
-  /// What that push sent has left the process.
+  /// Notifies the feed that a push has been sent completely.
   void PushSent(std::uint64_t push, Instant now) { feed_.PushSent(push, now); }
-  /// Sends hints to all routers.
+  /// Adds a message with hints for every router.
   void BroadcastHints(const traffic::TrafficHints& hints, std::vector<RouterSend>& sends) const;
-  /// Whether routers were heard of that were told no hints yet.
+  /// Whether there are routers that have not been sent hints yet.
   bool HasHintsPending() const { return !hints_pending_.empty(); }
-  /// Sends hints to those.
+  /// Adds a message with hints for these routers.
   void SendInitialHints(const traffic::TrafficHints& hints, std::vector<RouterSend>& sends);
 
-  /// When Push() has something to send that it held back.
+  /// Time at which Push() will send changes that it held back.
   Instant NextDue() const { return feed_.NextDue(); }
 
-  /// Routers that polled lately; 0 while a new leader may not have heard of all.
+  /// Number of routers that polled recently; 0 while a new leader may not have received a poll from
+  /// all.
   std::uint32_t RouterCount(Instant now) { return routers_.Count(now); }
 
-  /// What answering polls has cost so far: routers looked at, and messages made.
+  /// Cost of answering polls so far: router records evaluated, and messages built.
   std::uint64_t evaluations() const { return routers_.router_evaluations() + feed_.updates_made(); }
 
  private:
-  /// What a router that asks for the state lacks; null when it must ask again.
+  /// The changes that a router lacks; null when it has to request them again.
   StateFeed::Message StateFor(std::uint64_t version, Instant now);
 
   const traffic::TrafficState& state_;
   StateFeed feed_;
   RouterRegistry routers_;
   std::set<ConnectionId> sessions_;
-  std::set<ConnectionId> hints_pending_;  ///< Told no hints yet.
-  Instant next_update_{};  ///< When one more message may be made for a router by itself.
+  std::set<ConnectionId> hints_pending_;  ///< Routers that have not been sent hints yet.
+  /// Rate limit of messages built for single routers: the time at which the next one is due.
+  Instant next_update_{};
 };
 
 }  // namespace graniteseam::control
