--- a/src/control/control_node_impl.cc
+++ b/src/control/control_node_impl.cc
@@ -32,7 +32,7 @@
       ownership(OwnershipOptionsOf(options), state, in_term, numbers_used, now),
       routers(options.router_lease, state),
       traffic(options.traffic, state, in_term, orders_used, pushes_used, now) {
-  routers.FollowState();
+  routers.SyncState();
 }
 
 ControlNode::Impl::Impl(ControlOptions options, consensus::RecoveredState recovered,
@@ -207,9 +207,9 @@
 void ControlNode::Impl::ApplyEntry(const consensus::LogEntry& entry, Instant now) {
   const ApplyOutcome outcome = state_.Apply(entry);
   if (leadership_) {
-    leadership_->ownership.Follow(outcome, now);
+    leadership_->ownership.HandleApplied(outcome, now);
     if (outcome.bundle_rolled || !outcome.registered.empty() || !outcome.lost.empty()) {
-      leadership_->routers.FollowState();
+      leadership_->routers.SyncState();
     }
     if (outcome.configuration_changed) {
       leadership_->traffic.rollout().RecordCommit(
@@ -262,7 +262,7 @@
 // --- Leadership ---
 
 std::uint64_t ControlNode::Impl::decision_evaluations() const {
-  return earlier_evaluations_ + (leadership_ ? leadership_->traffic.ranges().looks() : 0);
+  return earlier_evaluations_ + (leadership_ ? leadership_->traffic.ranges().evaluations() : 0);
 }
 
 bool ControlNode::Impl::Leading(Instant now) const {
@@ -297,7 +297,7 @@
     numbers_used_ = leadership_->ownership.leases().numbers_used();
     orders_used_ = leadership_->traffic.ranges().last_number();
     pushes_used_ = leadership_->traffic.sessions().last_push();
-    earlier_evaluations_ += leadership_->traffic.ranges().looks();
+    earlier_evaluations_ += leadership_->traffic.ranges().evaluations();
   }
   leadership_.reset();
   for (const Deferred& deferred : deferred_.TakeAll()) {
--- a/src/control/quota_ledger.cc
+++ b/src/control/quota_ledger.cc
@@ -15,49 +15,52 @@
 
 constexpr Duration kDivideInterval{200'000};
 constexpr Duration kNoteInterval{1'000'000};
-/// Quotas of many tenants among many routers are divided less often: a twentieth of a core at most.
-constexpr Duration kTimePerLook{5};
-/// Added to a lease, beside the drift of clocks, before its end is taken for certain.
+/// Interval between divisions for each (tenant, router) pair, so that dividing many quotas among
+/// many routers takes at most a twentieth of a core.
+constexpr Duration kDivideIntervalPerShare{5};
+/// Safety margin added to a lease, beside the clock drift, before it is treated as expired.
 constexpr Duration kLeaseSlack{200'000};
-/// Of a quota's burst, the part that is leased in shares; single tokens take the rest.
+/// Part of a quota's burst that is leased in shares; single tokens use the rest.
 constexpr double kLeasedBurst = 0.7;
-/// Of its rate, single tokens take so much of the demand, and half of the rate at the most: what
-/// comes beyond the shares by chance.
+/// Single tokens keep this part of the demand from the quota's rate, and at most half of the rate,
+/// for requests that by chance exceed the shares.
 constexpr double kPooledDemand = 0.4;
 constexpr double kLeasedRateMinimum = 0.5;
-/// A quota allows its burst within each window: this part of it is given out as rate.
+/// Part of a quota's burst, which is allowed once per window, that is distributed as rate.
 constexpr double kBurstAsRate = 0.6;
-/// Of the allowed overshoot, the part that is given out as burst, and the part as tokens. The rest
-/// answers requests that were let in and reach a server a moment later.
+/// Parts of the allowed overshoot that are distributed as burst and as tokens. The rest covers
+/// requests that were admitted and reach a server slightly later.
 constexpr double kOvershootInBurst = 0.4;
 constexpr double kOvershootInTokens = 0.2;
-/// Requests a second from which on a router gets a share, and below which it loses it. With fewer,
-/// a share fills too slowly to be worth what it keeps from others.
+/// Demand in requests per second at which a router gets a share, and below which it loses it. With
+/// less demand, a share refills too slowly to justify the capacity that it withholds from other
+/// routers.
 constexpr double kDemandMinimum = 0.8;
 constexpr double kDemandKept = 0.4;
 constexpr double kDemandForgotten = 0.01;
-/// Younger demand takes single tokens: a share of requests that have gone elsewhere comes back only
-/// after two polls.
-constexpr Duration kLastingAfter{3'000'000};
-/// Requests that should have come in a silence, to take it for the end of a demand.
-constexpr double kSilenceInRequests = 3.0;
-/// Over what time a router's demand is averaged.
+/// Demand younger than this uses single tokens: when requests move to another router, the capacity
+/// of a share returns only after two polls.
+constexpr Duration kSustainedAfter{3'000'000};
+/// Number of expected requests that must fail to arrive before a demand is treated as ended.
+constexpr double kMissingRequestsMaximum = 3.0;
+/// Averaging time of a router's demand, in seconds.
 constexpr double kDemandSeconds = 4.0;
-/// A share changes only by more than this part: each change is told to its router.
-constexpr double kWorthTelling = 0.2;
-/// A share that lets no whole request in at once is none.
+/// Minimum relative change of a share that is sent to its router; each change costs a message.
+constexpr double kShareChangeMinimum = 0.2;
+/// A share with less burst admits no whole request and is treated as none.
 constexpr double kBurstMinimum = 1.0;
 constexpr std::uint64_t kNumbersPerTerm = std::uint64_t{1} << 32;
-/// Shorter spans between polls are taken for this, in seconds: their rates say nothing.
+/// Minimum time between polls in seconds; rates over a shorter time are unreliable and are computed
+/// over this one.
 constexpr double kReportSpanMinimum = 0.05;
-/// Requests a second by which a refusal tells when to come back, where next to none come.
+/// Minimum refill rate, in requests per second, for computing the retry delay of a refusal.
 constexpr double kRetryRateMinimum = 0.1;
-/// Routers and tenants of one report; more is a mistake of its sender.
+/// Maximum tenants tracked for each router; a longer report is a fault of its sender.
 constexpr std::size_t kTenantsPerRouter = 4'096;
 
-/// Whether a share that goes from one size to another is worth telling to its router.
-bool IsWorthTelling(double before, double after) {
-  return (before == 0) != (after == 0) || std::abs(after - before) > kWorthTelling * before;
+/// Whether a change of a share's size is large enough to send to its router.
+bool IsSignificantChange(double before, double after) {
+  return (before == 0) != (after == 0) || std::abs(after - before) > kShareChangeMinimum * before;
 }
 
 }  // namespace
@@ -67,7 +70,7 @@
       first_number_(term * kNumbersPerTerm + 1),
       inherited_until_(now + traffic::kQuotaLease + kLeaseSlack) {}
 
-bool QuotaLedger::Inherits(Instant now) const { return now < inherited_until_; }
+bool QuotaLedger::MayHaveInheritedLeases(Instant now) const { return now < inherited_until_; }
 
 void QuotaLedger::SetQuota(Account& account, const traffic::TenantQuota& quota) const {
   account.quota = quota;
@@ -79,9 +82,10 @@
   account.token_rate = overshoot * kOvershootInTokens / window;
 }
 
-void QuotaLedger::Follow(const traffic::Tenancy& tenancy, std::uint64_t changed_at, Instant now) {
-  if (followed_ == changed_at) return;
-  followed_ = changed_at;
+void QuotaLedger::SyncTenants(const traffic::Tenancy& tenancy, std::uint64_t changed_at,
+                              Instant now) {
+  if (synced_tenants_ == changed_at) return;
+  synced_tenants_ = changed_at;
   std::map<TenantName, Account> next;
   for (const traffic::Tenant& tenant : tenancy.tenants) {
     if (!tenant.quota.is_limited()) continue;
@@ -90,7 +94,7 @@
     if (known != accounts_.end()) {
       account = known->second;
     } else {
-      account.filled = now;
+      account.refilled_at = now;
     }
     SetQuota(account, tenant.quota);
     account.tokens = std::min(account.tokens, account.total.burst);
@@ -99,31 +103,33 @@
   divide_due_ = now;
 }
 
-QuotaLedger::Standing QuotaLedger::TakeShares(Router& router, const traffic::QuotaReport& report,
-                                              Instant now) {
+QuotaLedger::ShareSetStatus QuotaLedger::TakeShares(Router& router,
+                                                    const traffic::QuotaReport& report,
+                                                    Instant now) {
   if (report.number == router.newest.number) {
-    router.told = router.newest;
-    return Standing::kKnown;
+    router.acknowledged = router.newest;
+    return ShareSetStatus::kKnown;
   }
-  if (report.number == router.told.number) return Standing::kKnown;
-  // A router that has started anew; what its last life may use stays reserved, and is its own.
-  if (report.number == 0) return Standing::kNone;
-  if (report.number < router.told.number) return Standing::kLate;
-  if (!Inherits(now)) {
-    // Its lease is over: this leader has not renewed it, and earlier ones are gone for longer.
-    router.told = {report.number, {}};
+  if (report.number == router.acknowledged.number) return ShareSetStatus::kKnown;
+  // A restarted router. The shares of its former process stay reserved for it.
+  if (report.number == 0) return ShareSetStatus::kNone;
+  if (report.number < router.acknowledged.number) return ShareSetStatus::kLate;
+  if (!MayHaveInheritedLeases(now)) {
+    // The lease has expired: this leader has not renewed it, and those of earlier leaders ended
+    // before.
+    router.acknowledged = {report.number, {}};
     router.newest = {std::max(first_number_, report.number + 1), {}};
-    return Standing::kNone;
+    return ShareSetStatus::kNone;
   }
-  if (!report.tells_shares) return Standing::kUnknown;
-  // Given by an earlier leader.
-  Sent held;
+  if (!report.tells_shares) return ShareSetStatus::kUnknown;
+  // Granted by an earlier leader.
+  ShareSet held;
   held.number = report.number;
   for (const traffic::QuotaShare& share : report.shares) {
     held.parts[share.tenant] = {std::max(0.0, share.rate_per_second), std::max(0.0, share.burst)};
   }
-  router.told = router.newest = std::move(held);
-  return Standing::kKnown;
+  router.acknowledged = router.newest = std::move(held);
+  return ShareSetStatus::kKnown;
 }
 
 void QuotaLedger::TakeDemand(Router& router, const traffic::QuotaReport& report, Instant now) {
@@ -140,20 +146,20 @@
     demand.rate += newest * count.requests / span;
     demand.newest = now;
   }
-  // A silence that chance does not explain: the tenant's requests go elsewhere now.
+  // No requests for longer than chance explains: the tenant's requests now use another router.
   std::erase_if(router.demand, [&](const auto& entry) {
-    return ToSeconds(now - entry.second.newest) * entry.second.rate > kSilenceInRequests ||
+    return ToSeconds(now - entry.second.newest) * entry.second.rate > kMissingRequestsMaximum ||
            entry.second.rate < kDemandForgotten;
   });
 }
 
-double QuotaLedger::LastingDemand(const Router& router, const TenantName& tenant, bool has_share,
-                                  Instant now) {
+double QuotaLedger::SustainedDemand(const Router& router, const TenantName& tenant, bool has_share,
+                                    Instant now) {
   const auto found = router.demand.find(tenant);
   if (found == router.demand.end()) return 0;
   const Demand& demand = found->second;
   const double least = has_share ? kDemandKept : kDemandMinimum;
-  const bool lasts = has_share || now - demand.since >= kLastingAfter;
+  const bool lasts = has_share || now - demand.since >= kSustainedAfter;
   return lasts && demand.rate >= least ? demand.rate : 0;
 }
 
@@ -162,13 +168,13 @@
   traffic::QuotaGrant grant;
   if (accounts_.empty() && report.number == 0) return grant;
   Router& router = routers_[id];
-  const Standing standing = TakeShares(router, report, now);
+  const ShareSetStatus status = TakeShares(router, report, now);
   TakeDemand(router, report, now);
-  grant.asks_for_shares = standing == Standing::kUnknown;
-  if (grant.asks_for_shares || standing == Standing::kLate) return grant;
+  grant.asks_for_shares = status == ShareSetStatus::kUnknown;
+  if (grant.asks_for_shares || status == ShareSetStatus::kLate) return grant;
   Divide(now);
   router.answered = now;
-  if (standing == Standing::kKnown) grant.renewed = report.number;
+  if (status == ShareSetStatus::kKnown) grant.renewed = report.number;
   const auto wanted = wanted_.find(id);
   if (report.number == router.newest.number && wanted != wanted_.end()) {
     const std::uint64_t number = std::max(first_number_, router.newest.number + 1);
@@ -183,9 +189,9 @@
   return grant;
 }
 
-QuotaLedger::Part QuotaLedger::ReservedBy(const Router& router, const TenantName& tenant) {
-  Part reserved;
-  for (const Sent* sent : {&router.told, &router.newest}) {
+QuotaLedger::Share QuotaLedger::ReservedShare(const Router& router, const TenantName& tenant) {
+  Share reserved;
+  for (const ShareSet* sent : {&router.acknowledged, &router.newest}) {
     const auto part = sent->parts.find(tenant);
     if (part == sent->parts.end()) continue;
     reserved.rate = std::max(reserved.rate, part->second.rate);
@@ -194,7 +200,7 @@
   return reserved;
 }
 
-void QuotaLedger::Forget(Instant now) {
+void QuotaLedger::RemoveExpiredRouters(Instant now) {
   const Duration lease = traffic::kQuotaLease + kLeaseSlack;
   std::erase_if(routers_, [&](const auto& entry) {
     return now - entry.second.answered > lease && now - entry.second.polled > lease;
@@ -203,54 +209,57 @@
 
 void QuotaLedger::Divide(Instant now) {
   if (now < divide_due_) return;
-  const auto looks = static_cast<std::int64_t>(accounts_.size() * routers_.size());
-  divide_due_ = now + std::max(kDivideInterval, looks * kTimePerLook);
-  Forget(now);
-  // What no router was sent is open again.
+  const auto share_evaluations = static_cast<std::int64_t>(accounts_.size() * routers_.size());
+  divide_due_ = now + std::max(kDivideInterval, share_evaluations * kDivideIntervalPerShare);
+  RemoveExpiredRouters(now);
+  // Shares that were planned and not sent are free again.
   wanted_.clear();
-  for (auto& [tenant, account] : accounts_) DivideOne(tenant, account, now);
+  for (auto& [tenant, account] : accounts_) DivideQuota(tenant, account, now);
 }
 
-void QuotaLedger::DivideOne(const TenantName& tenant, Account& account, Instant now) {
-  Fill(account, now);
-  std::vector<Claim> claims = TakeClaims(tenant, account, now);
-  const Part leased = {std::max(account.total.rate * kLeasedRateMinimum,
-                                account.total.rate - account.demand * kPooledDemand),
-                       account.total.burst * kLeasedBurst};
+void QuotaLedger::DivideQuota(const TenantName& tenant, Account& account, Instant now) {
+  RefillTokens(account, now);
+  std::vector<Claim> claims = CollectClaims(tenant, account, now);
+  const Share leased = {std::max(account.total.rate * kLeasedRateMinimum,
+                                 account.total.rate - account.demand * kPooledDemand),
+                        account.total.burst * kLeasedBurst};
   SetWanted(claims, leased, account.demand);
-  // A share grows by what nobody may use; a smaller one frees the rest once its router has it.
-  Part free;
-  if (!Inherits(now)) {
+  // A share grows by capacity that no router may use; a smaller share frees the difference once its
+  // router has acknowledged it.
+  Share free;
+  if (!MayHaveInheritedLeases(now)) {
     free = {leased.rate - account.reserved.rate, leased.burst - account.reserved.burst};
   }
   for (const Claim& claim : claims) {
     const Router& router = routers_.at(*claim.router);
-    if (router.told.number == router.newest.number) Settle(claim, tenant, account, free);
+    if (router.acknowledged.number == router.newest.number)
+      AdjustShare(claim, tenant, account, free);
   }
 }
 
-std::vector<QuotaLedger::Claim> QuotaLedger::TakeClaims(const TenantName& tenant, Account& account,
-                                                        Instant now) {
+std::vector<QuotaLedger::Claim> QuotaLedger::CollectClaims(const TenantName& tenant,
+                                                           Account& account, Instant now) {
   std::vector<Claim> claims;
   account.demand = 0;
   account.reserved = {};
-  looks_ += routers_.size();
+  share_evaluations_ += routers_.size();
   for (const auto& [id, router] : routers_) {
-    const Part reserved = ReservedBy(router, tenant);
-    const double asked = LastingDemand(router, tenant, reserved.burst > 0, now);
+    const Share reserved = ReservedShare(router, tenant);
+    const double asked = SustainedDemand(router, tenant, reserved.burst > 0, now);
     account.reserved.rate += reserved.rate;
     account.reserved.burst += reserved.burst;
     if (asked == 0 && reserved.burst == 0) continue;
     claims.push_back({&id, asked, reserved, {}});
     account.demand += asked;
   }
-  // Largest first: where not all get a share of a whole request, those that ask most do.
+  // Largest first: where the capacity is too small for all to get a share of a whole request, the
+  // routers with the most demand do.
   std::stable_sort(claims.begin(), claims.end(),
                    [](const Claim& a, const Claim& b) { return a.demand > b.demand; });
   return claims;
 }
 
-void QuotaLedger::SetWanted(std::vector<Claim>& claims, const Part& leased, double demand) {
+void QuotaLedger::SetWanted(std::vector<Claim>& claims, const Share& leased, double demand) {
   double burst_left = leased.burst;
   for (Claim& claim : claims) {
     if (claim.demand <= 0) continue;
@@ -262,21 +271,22 @@
   }
 }
 
-void QuotaLedger::Settle(const Claim& claim, const TenantName& tenant, Account& account,
-                         Part& free) {
-  const Part& held = claim.reserved;
-  Part next;
+void QuotaLedger::AdjustShare(const Claim& claim, const TenantName& tenant, Account& account,
+                              Share& free) {
+  const Share& held = claim.reserved;
+  Share next;
   next.rate = std::min(claim.wanted.rate, held.rate + std::max(0.0, free.rate));
   next.burst = std::min(claim.wanted.burst, held.burst + std::max(0.0, free.burst));
   if (next.burst < kBurstMinimum || next.rate <= 0) next = {};
-  if (!IsWorthTelling(held.rate, next.rate) && !IsWorthTelling(held.burst, next.burst)) return;
-  const Part more = {std::max(0.0, next.rate - held.rate), std::max(0.0, next.burst - held.burst)};
+  if (!IsSignificantChange(held.rate, next.rate) && !IsSignificantChange(held.burst, next.burst))
+    return;
+  const Share more = {std::max(0.0, next.rate - held.rate), std::max(0.0, next.burst - held.burst)};
   free.rate -= more.rate;
   free.burst -= more.burst;
-  // Reserved from now on, though its router hears of it with its next poll.
+  // Reserved immediately, although the router receives the share with its next poll.
   account.reserved.rate += more.rate;
   account.reserved.burst += more.burst;
-  const Sent& newest = routers_.at(*claim.router).newest;
+  const ShareSet& newest = routers_.at(*claim.router).newest;
   auto& wanted = wanted_.try_emplace(*claim.router, newest.parts).first->second;
   if (next.burst == 0) {
     wanted.erase(tenant);
@@ -285,7 +295,7 @@
   }
 }
 
-void QuotaLedger::NoteUsedUp(const TenantName& tenant, Account& account, Instant now) {
+void QuotaLedger::NoteExhausted(const TenantName& tenant, Account& account, Instant now) {
   if (now < account.note_due) return;
   account.note_due = now + kNoteInterval;
   const auto text = [](double number) {
@@ -307,12 +317,12 @@
   return std::max(0.0, account.total.burst - account.reserved.burst);
 }
 
-void QuotaLedger::Fill(Account& account, Instant now) {
+void QuotaLedger::RefillTokens(Account& account, Instant now) {
   const double free_rate =
-      Inherits(now) ? 0 : std::max(0.0, account.total.rate - account.reserved.rate);
-  const double come = (free_rate + account.token_rate) * ToSeconds(now - account.filled);
-  account.filled = now;
-  account.tokens = std::min(account.tokens + come, TokenRoom(account));
+      MayHaveInheritedLeases(now) ? 0 : std::max(0.0, account.total.rate - account.reserved.rate);
+  const double refill = (free_rate + account.token_rate) * ToSeconds(now - account.refilled_at);
+  account.refilled_at = now;
+  account.tokens = std::min(account.tokens + refill, TokenRoom(account));
 }
 
 traffic::TokenAnswer QuotaLedger::TakeTokens(const traffic::TokenRequest& request, Instant now) {
@@ -323,11 +333,11 @@
     traffic::TokenGrant& grant = answer.granted.emplace_back();
     grant.tenant = wanted.tenant;
     const auto found = accounts_.find(wanted.tenant);
-    // A limit that is gone, or a tenant that is: its router will hear of it.
+    // The tenant or its limit was removed: the router learns this from the next configuration.
     grant.requests = wanted.requests;
     if (found == accounts_.end()) continue;
     Account& account = found->second;
-    Fill(account, now);
+    RefillTokens(account, now);
     grant.requests = std::min(wanted.requests, static_cast<std::uint32_t>(account.tokens));
     account.tokens -= grant.requests;
     if (grant.requests == wanted.requests) continue;
@@ -335,7 +345,7 @@
     constexpr double kMillis = 1'000;
     const double missing = 1.0 - (account.tokens - std::floor(account.tokens));
     grant.retry_after_ms = static_cast<std::int64_t>(std::ceil(kMillis * missing / rate));
-    NoteUsedUp(wanted.tenant, account, now);
+    NoteExhausted(wanted.tenant, account, now);
   }
   return answer;
 }
--- a/src/control/range_balancer.cc
+++ b/src/control/range_balancer.cc
@@ -9,67 +9,75 @@
 namespace {
 
 constexpr Duration kWindow{250'000};
-/// Weights of the newest window in the slow mean and in the fast one.
-constexpr float kNewest = 0.1F;
-constexpr float kNewestOfFast = 0.5F;
-/// Requests a second of one key, or of a block of keys, that count by the fast mean.
+/// Weights of the newest window in the slow and in the fast moving average.
+constexpr float kSlowMeanWeight = 0.1F;
+constexpr float kFastMeanWeight = 0.5F;
+/// Rate, in requests per second, from which a key or a block of keys counts by the fast average.
 constexpr float kHotRate = 6.0F;
-/// Neighbours that are looked at together: a fifth of the narrowest share of 300 owners.
+/// Size of the blocks in which neighbouring keys are evaluated: a fifth of the narrowest share with
+/// 300 owners.
 constexpr std::uint32_t kBlockKeys = 64;
-/// Over what time the fast mean looks back, and by how many standard deviations of a count over
-/// that time a block must lie above its slow mean: 2.5 lets chance move a block once in minutes.
+/// Averaging time of the fast average in seconds, and the number of standard deviations of a count
+/// over that time by which a block has to exceed its slow average. With 2.5, random variation moves
+/// a block once in several minutes.
 constexpr double kFastSeconds = 0.75;
 constexpr double kDeviations = 2.5;
-/// The same of an owner that is to give keys away. Less, since waiting for certainty while queues
-/// stand costs more than a needless move: 2.5 lost 0.009 on a day of high load.
+/// The same number for an owner that is to release keys. It is lower, because waiting for certainty
+/// while queues build up costs more than a needless move: with 2.5, the result on a day of high
+/// load was 0.009 lower.
 constexpr double kMoveDeviations = 1.0;
-/// Over what time the slow mean looks back: ten windows.
+/// Averaging time of the slow average in seconds: ten windows.
 constexpr double kSlowSeconds = 2.5;
-/// Requests a second that all keys of a service together count for by their mere number.
+/// Load, in requests per second, that is attributed to all keys of a service together for their
+/// number alone.
 constexpr double kSizeWeight = 10.0;
-/// A move needs an owner that carries so many times the mean of all.
+/// Minimum load of an owner, relative to the mean, for a move away from it.
 constexpr double kOverloaded = 1.25;
-/// And a gain of at least this part of the mean.
-constexpr double kWorthwhile = 0.1;
-constexpr Duration kLookInterval{250'000};
-/// A hot key that moves is served by nobody for a second: not again before its faster owner made
-/// up for that several times, however the measured speeds change meanwhile.
-constexpr Duration kHotKeyRest{8'000'000};
-/// By which another candidate must be faster to get a hot key.
-constexpr double kMuchFaster = 1.2;
-/// Moves that are under way together: so many, or one for this number of candidates when that is
-/// more, since the moves that a shift of load takes grow with the owners. A quarter of 153 owners'
-/// was tried: five times the moves, and more requests that found no owner.
+/// Minimum gain of a move, relative to the mean load.
+constexpr double kGainMinimum = 0.1;
+constexpr Duration kRebalanceInterval{250'000};
+/// Minimum time between moves of a hot key. A moving key has no owner for about a second, so its
+/// faster owner first has to make up for that several times, even if measured speeds change
+/// meanwhile.
+constexpr Duration kHotKeyMoveInterval{8'000'000};
+/// Factor by which another candidate has to be faster to receive a hot key.
+constexpr double kHotKeySpeedRatio = 1.2;
+/// Maximum concurrent moves: this minimum, or one for this number of candidates if that is more,
+/// because the moves that a shift of load needs grow with the number of owners. A limit of a
+/// quarter of 153 owners gave five times the moves, and more requests that found no owner.
 constexpr std::size_t kMovesMinimum = 8;
 constexpr std::size_t kCandidatesPerMove = 16;
-/// The same from owners that carry so many times the mean: a crowd came to a few hundred
-/// neighbouring keys, which one owner has. It takes as many moves as owners that share the crowd,
-/// and until they are made its requests stand in one queue.
-constexpr double kCrowded = 2.0;
-constexpr std::size_t kCandidatesPerCrowdMove = 3;
-/// Up to so many ranges, or so many for each candidate when that is more, moves and losses cut the
-/// keys into further pieces; beyond it, ranges move as a whole. Each range is renewed by a call of
-/// its own and looked at by every decision: without a bound 385 owners' ranges became over 1,250
-/// within 16 s of 62 moves a second, whose renewals alone took what a leader has of a third of a
-/// core.
+/// Load relative to the mean from which an owner counts as a hot spot, and the limit of concurrent
+/// moves for these. A hot spot on a few hundred neighbouring keys hits one owner. Spreading it
+/// takes as many moves as there are owners to share it, and until then its requests wait in one
+/// queue.
+constexpr double kHotSpotOverload = 2.0;
+constexpr std::size_t kCandidatesPerHotSpotMove = 3;
+/// Number of ranges, in all or for each candidate if that is more, up to which moves and losses of
+/// owners may cut ranges; above it, ranges move as a whole. Each range is renewed by a call of its
+/// own and evaluated in every decision. Without a limit, 62 moves a second turned 385 owners'
+/// ranges into more than 1,250 within 16 s, and their renewals alone used all that a leader with a
+/// third of a core has.
 constexpr std::size_t kRangesMinimum = 256;
 constexpr std::size_t kRangesPerCandidate = 2;
-/// From an owner's heartbeat whose answer takes keys away until their work has ended and it says
-/// so: a heartbeat each 100 ms, and requests that run for some hundred.
+/// Time from an owner's heartbeat whose answer revokes keys until their requests have ended and the
+/// owner reports the release: one heartbeat interval of 100 ms, and requests that run for some
+/// hundred milliseconds.
 constexpr Duration kReleaseTime{250'000};
-/// A candidate with this part of the most room may be chosen for its earlier heartbeat.
-constexpr double kRoomEnough = 0.6;
+/// Part of the largest free capacity that a candidate needs to be preferred for its earlier
+/// heartbeat.
+constexpr double kRoomPartMinimum = 0.6;
 
 std::size_t MovesMaximum(const std::vector<RangeCandidate>& candidates) {
   return std::max(kMovesMinimum, candidates.size() / kCandidatesPerMove);
 }
 
-std::size_t CrowdMovesMaximum(const std::vector<RangeCandidate>& candidates) {
-  return std::max(kMovesMinimum, candidates.size() / kCandidatesPerCrowdMove);
+std::size_t HotSpotMovesMaximum(const std::vector<RangeCandidate>& candidates) {
+  return std::max(kMovesMinimum, candidates.size() / kCandidatesPerHotSpotMove);
 }
 
-/// Whether a range is on its way to the owner that a move chose. Spans that are released because
-/// their owners leave are not: at hundreds of owners some always are.
+/// Whether a range is moving to a chosen successor. Spans that are released because their owners
+/// leave do not count: with hundreds of owners there are always some.
 bool IsMoving(const traffic::KeyRange& range) {
   return range.phase == traffic::RangePhase::kReleasing && !range.successor.Empty();
 }
@@ -98,7 +106,7 @@
   moved->successor = move.successor;
 }
 
-Instant RangeCandidate::HeartbeatFrom(Instant time) const {
+Instant RangeCandidate::NextHeartbeatFrom(Instant time) const {
   if (heartbeat_interval <= Duration{} || next_heartbeat >= time)
     return std::max(next_heartbeat, time);
   const auto intervals =
@@ -121,22 +129,23 @@
   const Duration length = now - load.window_start;
   if (length < kWindow) return;
   const auto seconds = static_cast<float>(std::chrono::duration<double>(length).count());
-  // The first windows count alike: a mean of few is worth more than its newest.
-  const float newest = std::max(kNewest, 1.0F / static_cast<float>(load.windows + 1));
+  // The first windows have equal weights, because an average of few windows is more accurate than
+  // the newest one.
+  const float newest = std::max(kSlowMeanWeight, 1.0F / static_cast<float>(load.windows + 1));
   load.hot.clear();
   for (std::uint32_t key = 0; key <= traffic::kLastKey; ++key) {
     const float seen = load.arrived[key] / seconds;
     load.rate[key] += newest * (seen - load.rate[key]);
-    load.fast_rate[key] += kNewestOfFast * (seen - load.fast_rate[key]);
+    load.fast_rate[key] += kFastMeanWeight * (seen - load.fast_rate[key]);
     load.arrived[key] = 0;
     if (load.fast_rate[key] >= kHotRate) load.hot[key] = load.fast_rate[key];
   }
   load.window_start = now;
   ++load.windows;
-  SumUp(load);
+  ComputePrefixSums(load);
 }
 
-void RangeBalancer::SumUp(ServiceLoad& load) {
+void RangeBalancer::ComputePrefixSums(ServiceLoad& load) {
   for (std::uint32_t block = 0; block <= traffic::kLastKey; block += kBlockKeys) {
     double slow = 0;
     double fast = 0;
@@ -145,10 +154,11 @@
       fast += load.fast_rate[key];
     }
     const double chance = kDeviations * std::sqrt(slow / kFastSeconds);
-    const bool crowded = fast >= kHotRate && fast - slow > chance;
-    const double part = crowded ? (fast - slow) / fast : 0.0;
+    const bool hot_spot = fast >= kHotRate && fast - slow > chance;
+    const double part = hot_spot ? (fast - slow) / fast : 0.0;
     for (std::uint32_t key = block; key < block + kBlockKeys; ++key) {
-      load.before[key + 1] = load.before[key] + load.rate[key] + part * load.fast_rate[key];
+      load.load_before[key + 1] =
+          load.load_before[key] + load.rate[key] + part * load.fast_rate[key];
     }
   }
 }
@@ -162,8 +172,8 @@
   const double sum = kSizeWeight * span.size() / (traffic::kLastKey + 1.0);
   const auto found = loads_.find(service);
   if (found == loads_.end()) return sum;
-  const std::vector<double>& before = found->second.before;
-  return sum + before[span.last + 1] - before[span.first];
+  const std::vector<double>& load_before = found->second.load_before;
+  return sum + load_before[span.last + 1] - load_before[span.first];
 }
 
 RangeBalancer::LoadByOwner RangeBalancer::OwnerLoads(
@@ -208,10 +218,9 @@
   return assignments;
 }
 
-std::vector<RangeCandidate> RangeBalancer::Lightest(const LoadByOwner& loads,
-                                                    const std::vector<RangeCandidate>& candidates,
-                                                    std::size_t count) {
-  std::vector<std::pair<double, std::size_t>> places;  // The load of a slot, and which candidate.
+std::vector<RangeCandidate> RangeBalancer::LeastLoaded(
+    const LoadByOwner& loads, const std::vector<RangeCandidate>& candidates, std::size_t count) {
+  std::vector<std::pair<double, std::size_t>> places;  // Load per slot, and index of the candidate.
   for (std::size_t index = 0; index < candidates.size(); ++index) {
     const auto found = loads.find(candidates[index].id);
     const double load = found == loads.end() ? 0.0 : found->second;
@@ -220,11 +229,11 @@
   const std::size_t taken = std::min(count, places.size());
   std::partial_sort(places.begin(), places.begin() + static_cast<std::ptrdiff_t>(taken),
                     places.end());
-  std::vector<RangeCandidate> lightest;
+  std::vector<RangeCandidate> least_loaded;
   for (std::size_t place = 0; place < taken; ++place) {
-    lightest.push_back(candidates[places[place].second]);
+    least_loaded.push_back(candidates[places[place].second]);
   }
-  return lightest;
+  return least_loaded;
 }
 
 std::optional<traffic::KeySpan> RangeBalancer::PartOf(const traffic::KeyRange& range, double wanted,
@@ -236,7 +245,7 @@
 
 std::optional<traffic::KeySpan> RangeBalancer::PieceOf(const traffic::KeyRange& range,
                                                        double wanted) const {
-  // From the end with the hotter keys: the narrower piece carries the same.
+  // Cuts from the end with the hotter keys: a narrower piece carries the same load.
   const auto grow = [&](bool from_start) -> std::optional<traffic::KeySpan> {
     double carried = 0;
     std::uint32_t keys = 0;
@@ -265,16 +274,16 @@
   ServiceLoad& measured = loads_[service];
   CloseWindow(measured, now);
   if (measured.windows == 0 || candidates.size() < 2) return moves;
-  if (now - measured.last_look < kLookInterval) return moves;
-  measured.last_look = now;
+  if (now - measured.last_rebalance < kRebalanceInterval) return moves;
+  measured.last_rebalance = now;
   traffic::KeyRangeTable::Ranges after = ranges;
   for (const traffic::RangeRelease& move : planned) MarkMoved(after, move);
   const auto under_way = static_cast<std::size_t>(std::count_if(
       after.begin(), after.end(), [](const auto& entry) { return IsMoving(entry.second); }));
   LoadByOwner loads = OwnerLoads(service, after);
-  while (moves.size() + under_way < CrowdMovesMaximum(candidates)) {
+  while (moves.size() + under_way < HotSpotMovesMaximum(candidates)) {
     const bool ordinary = moves.size() + under_way < MovesMaximum(candidates);
-    const double overload = ordinary ? kOverloaded : kCrowded;
+    const double overload = ordinary ? kOverloaded : kHotSpotOverload;
     const auto move = NextMove(service, after, candidates, loads, overload, now);
     if (!move) break;
     moves.push_back(*move);
@@ -282,8 +291,8 @@
   return moves;
 }
 
-/// The move from the busiest candidate to the one with most room; `ranges` then stand as after it.
-/// None when the busiest carries less than `overload` times the mean.
+/// Plans a move from the candidate with the most load to one with free capacity, and updates
+/// `ranges` as if it had been made. None when the highest load is below `overload` times the mean.
 std::optional<traffic::RangeRelease> RangeBalancer::NextMove(
     const ServiceName& service, traffic::KeyRangeTable::Ranges& ranges,
     const std::vector<RangeCandidate>& candidates, LoadByOwner& loads, double overload,
@@ -292,7 +301,7 @@
   for (const auto& [owner, load] : loads) total += load;
   const double mean = total / TotalSlots(candidates);
   if (auto hot = MoveOfHotKey(service, ranges, candidates, mean, now)) {
-    Take(*hot, ranges, loads);
+    ApplyMove(*hot, ranges, loads);
     return hot;
   }
   const auto load_of = [&](const RangeCandidate& candidate) {
@@ -308,21 +317,23 @@
   const double most_room = room_of(
       *std::max_element(candidates.begin(), candidates.end(),
                         [&](const auto& a, const auto& b) { return room_of(a) < room_of(b); }));
-  // Among those with room, the one that comes for the keys soonest after their release.
-  const Instant released = heaviest->HeartbeatFrom(now) + kReleaseTime;
+  // Among the candidates with enough free capacity, prefers the one whose heartbeat follows the
+  // release soonest.
+  const Instant released = heaviest->NextHeartbeatFrom(now) + kReleaseTime;
   const RangeCandidate* next = nullptr;
   for (const RangeCandidate& candidate : candidates) {
-    if (room_of(candidate) < most_room * kRoomEnough) continue;
-    const bool sooner =
-        next == nullptr || candidate.HeartbeatFrom(released) < next->HeartbeatFrom(released);
-    const bool same = !sooner && candidate.HeartbeatFrom(released) == next->HeartbeatFrom(released);
+    if (room_of(candidate) < most_room * kRoomPartMinimum) continue;
+    const bool sooner = next == nullptr ||
+                        candidate.NextHeartbeatFrom(released) < next->NextHeartbeatFrom(released);
+    const bool same =
+        !sooner && candidate.NextHeartbeatFrom(released) == next->NextHeartbeatFrom(released);
     if (sooner || (same && room_of(candidate) > room_of(*next))) next = &candidate;
   }
   const double over = (load_of(*heaviest) - mean) * heaviest->slots;
   const double wanted = std::min(over, room_of(*next));
-  if (load_of(*heaviest) < mean * overload || wanted < mean * kWorthwhile) return std::nullopt;
+  if (load_of(*heaviest) < mean * overload || wanted < mean * kGainMinimum) return std::nullopt;
   const double load = load_of(*heaviest) * heaviest->slots;
-  if (over < kMoveDeviations * std::sqrt(load / SecondsSeen(service, now))) return std::nullopt;
+  if (over < kMoveDeviations * std::sqrt(load / ObservedSeconds(service, now))) return std::nullopt;
   const bool may_cut = MayCut(ranges, candidates);
   std::optional<traffic::RangeRelease> best;
   for (const auto& [first, range] : ranges) {
@@ -332,19 +343,19 @@
     best = traffic::RangeRelease{service, *piece, range.fence, next->id};
   }
   if (!best) return std::nullopt;
-  Take(*best, ranges, loads);
+  ApplyMove(*best, ranges, loads);
   return best;
 }
 
-void RangeBalancer::Take(const traffic::RangeRelease& move, traffic::KeyRangeTable::Ranges& ranges,
-                         LoadByOwner& loads) const {
+void RangeBalancer::ApplyMove(const traffic::RangeRelease& move,
+                              traffic::KeyRangeTable::Ranges& ranges, LoadByOwner& loads) const {
   const double load = LoadOf(move.service, move.span);
   loads[std::prev(ranges.upper_bound(move.span.first))->second.owner] -= load;
   loads[move.successor] += load;
   MarkMoved(ranges, move);
 }
 
-double RangeBalancer::SecondsSeen(const ServiceName& service, Instant now) const {
+double RangeBalancer::ObservedSeconds(const ServiceName& service, Instant now) const {
   const auto found = loads_.find(service);
   if (found == loads_.end()) return kFastSeconds;
   const double seen = std::chrono::duration<double>(now - found->second.first_window).count();
@@ -357,7 +368,7 @@
   const auto measured = loads_.find(service);
   if (measured == loads_.end()) return std::nullopt;
   auto& moved = measured->second.hot_moved;
-  std::erase_if(moved, [&](const auto& entry) { return now - entry.second > kHotKeyRest; });
+  std::erase_if(moved, [&](const auto& entry) { return now - entry.second > kHotKeyMoveInterval; });
   const auto fastest =
       std::max_element(candidates.begin(), candidates.end(),
                        [](const auto& a, const auto& b) { return a.slots < b.slots; });
@@ -367,7 +378,7 @@
                                     [&](const auto& one) { return one.id == range.owner; });
     if (owner == candidates.end() || range.phase != traffic::RangePhase::kServing) continue;
     const bool fills_owner = rate > mean * owner->slots;
-    if (!fills_owner || owner->slots * kMuchFaster > fastest->slots) continue;
+    if (!fills_owner || owner->slots * kHotKeySpeedRatio > fastest->slots) continue;
     if (!moved.emplace(key, now).second) continue;
     return traffic::RangeRelease{service, {key, key}, range.fence, fastest->id};
   }
--- a/src/control/traffic_leader.h
+++ b/src/control/traffic_leader.h
@@ -1,5 +1,5 @@
 /// @file
-/// A leader's duties towards traffic: liveness of instances, key ranges, routers' updates.
+/// The leader's tasks for traffic: liveness of instances, key ranges, and updates to routers.
 #pragma once
 
 #include <algorithm>
@@ -21,7 +21,8 @@
 
 namespace graniteseam::control {
 
-/// Lives as long as one leadership. Not thread safe; `now` never goes back.
+/// Combines the traffic components of one leadership and exists for its duration. Not thread safe;
+/// `now` never decreases.
 class TrafficLeader {
  public:
   TrafficLeader(const TrafficOptions& options, const ReplicatedState& state, Term term,
@@ -39,18 +40,20 @@
   RangeController& ranges() { return ranges_; }
   const RangeController& ranges() const { return ranges_; }
   TrafficSessions& sessions() { return sessions_; }
-  /// What happened with configurations and quotas since the last call.
+  /// Returns and clears the notes on configurations and quotas since the last call.
   std::vector<RolloutNote> TakeNotes() {
     std::vector<RolloutNote> notes = rollout_.TakeNotes();
     std::vector<RolloutNote> of_quotas = quotas_.TakeNotes();
     std::move(of_quotas.begin(), of_quotas.end(), std::back_inserter(notes));
     return notes;
   }
-  /// What answering routers has cost so far: routers looked at, and messages made.
-  std::uint64_t looks() const { return sessions_.looks() + rollout_.looks(); }
+  /// Cost of answering routers so far: router records evaluated, and messages built.
+  std::uint64_t evaluations() const { return sessions_.evaluations() + rollout_.looks(); }
   SuspectDetector& crashes() { return crashes_; }
   ConfigurationRollout& rollout() { return rollout_; }
 
+  /// Processes a router's poll and returns the messages to send, the answer among them.
+  /// @param feed address from which the router is to receive the state.
   /// @param feed where the router is to take the state from.
   std::vector<RouterSend> TakePoll(ConnectionId connection, const traffic::TrafficPoll& poll,
                                    Instant now, const std::string& feed = "") {
@@ -60,13 +63,14 @@
     hints_.TakePoll(poll, now);
     crashes_.TakePoll(poll, now);
     rollout_.RecordPoll(poll.router, poll.version, now);
-    FollowTenants(now);
+    SyncQuotaTenants(now);
     return sessions_.Poll(connection, poll, now, feed,
                           quotas_.TakePoll(poll.router, poll.quota, now));
   }
 
+  /// Grants single tokens of quotas and of instances' rate limits.
   traffic::TokenAnswer TakeTokens(const traffic::TokenRequest& request, Instant now) {
-    FollowTenants(now);
+    SyncQuotaTenants(now);
     traffic::TokenAnswer answer = quotas_.TakeTokens(request, now);
     for (const traffic::LimitTokenRequest& limited : request.limited) {
       answer.limited.push_back(limits_.TakeTokens(limited, now));
@@ -74,36 +78,36 @@
     return answer;
   }
 
-  /// What routers are to be sent by themselves.
+  /// Returns messages to routers that are not answers to polls.
   std::vector<RouterSend> Push(Instant now) {
     rollout_.Evaluate(now);
     std::vector<RouterSend> sends = sessions_.Push(now);
-    if (sessions_.HasNew()) {
+    if (sessions_.HasHintsPending()) {
       traffic::TrafficHints all = hints_.All(now);
       all.limits = limits_.All(now);
-      sessions_.TellNew(all, sends);
+      sessions_.SendInitialHints(all, sends);
     }
     if (!hints_.IsDue(now)) return sends;
     const auto hints = hints_.Evaluate(ranges_.HotKeys(), now, limits_.TakeChanges(now));
     if (!hints) return sends;
-    for (const traffic::HotKey& hot : hints->hot_keys) ranges_.NoteTold(hot);
-    sessions_.TellAll(*hints, sends);
+    for (const traffic::HotKey& hot : hints->hot_keys) ranges_.RecordHotKeySent(hot);
+    sessions_.BroadcastHints(*hints, sends);
     return sends;
   }
 
-  /// Commands to propose; none while those before wait to be applied.
+  /// Returns commands to propose; none until the previous ones are applied.
   std::vector<CommandBody> Decide(Instant now) {
     if (state_.applied() < proposed_) return {};
     std::vector<CommandBody> commands = ranges_.Decide(now);
-    if (now >= forerunners_due_) DeregisterForerunners(commands, now);
+    if (now >= stale_address_check_due_) DeregisterStaleAddressHolders(commands, now);
     crashes_.Decide(commands, now);
     return commands;
   }
-  /// The commands of the last Decide() stand in the log up to here.
+  /// Records the log index of the last command that Decide() returned.
   void Proposed(LogIndex last) { proposed_ = last; }
 
-  /// While commands wait to be applied there is nothing to decide, and what ends the wait is an
-  /// event: waking for decisions would only spin.
+  /// The next time at which Push(), Decide() or orders have work. Decisions are excluded while
+  /// commands wait to be applied: the wait ends with an event, and a timer would only spin.
   Instant NextDue() const {
     const bool waits = state_.applied() < proposed_;
     const Instant decisions = std::min(ranges_.NextDue(), crashes_.NextDue());
@@ -112,21 +116,21 @@
   }
 
  private:
-  void FollowTenants(Instant now) {
+  void SyncQuotaTenants(Instant now) {
     const traffic::ConfigurationStore& store = state_.traffic().configuration();
-    quotas_.Follow(store.tenancy(), store.changed_at(), now);
+    quotas_.SyncTenants(store.tenancy(), store.changed_at(), now);
   }
 
-  /// How often displaced instances are looked at that turn out to live.
-  static constexpr Duration kForerunnersInterval{1'000'000};
+  /// Interval of the check for displaced instances that are still running.
+  static constexpr Duration kStaleAddressCheckInterval{1'000'000};
 
-  /// The instance that lives gets its address back.
-  void DeregisterForerunners(std::vector<CommandBody>& commands, Instant now) {
-    forerunners_due_ = now + kForerunnersInterval;
+  /// Returns an address to the instance that is still running.
+  void DeregisterStaleAddressHolders(std::vector<CommandBody>& commands, Instant now) {
+    stale_address_check_due_ = now + kStaleAddressCheckInterval;
     for (StaleAddressHolder& one :
          FindStaleAddressHolders(state_.traffic().instances(), liveness_, now)) {
       commands.emplace_back(DeregisterInstanceCommand{one.id});
-      ++one.displaced.sequence;  // Newer than what is known, so that it is taken.
+      ++one.displaced.sequence;  // A higher sequence, so that the report is accepted.
       commands.emplace_back(ReportInstancesCommand{{one.displaced}});
     }
   }
@@ -141,7 +145,7 @@
   ConfigurationRollout rollout_;
   QuotaLedger quotas_;
   LogIndex proposed_;
-  Instant forerunners_due_{};
+  Instant stale_address_check_due_{};
 };
 
 }  // namespace graniteseam::control
--- a/src/control/traffic_sessions.cc
+++ b/src/control/traffic_sessions.cc
@@ -6,9 +6,9 @@
 namespace graniteseam::control {
 namespace {
 
-/// Messages for routers that ask for the state: so many at once, and then one in this time. One
-/// takes a look at all instances and ranges, which is 0.5 ms with 20,000 of them: a tenth of a core
-/// at the most, whoever asks.
+/// Rate limit of messages for routers that request the state: a burst, then one per interval.
+/// Building one iterates over all instances and ranges, which takes 0.5 ms with 20,000 of them: at
+/// most a tenth of a core, however many routers ask.
 constexpr std::int64_t kUpdatesAtOnce = 20;
 constexpr Duration kUpdateInterval{5'000};
 
@@ -17,23 +17,23 @@
 std::vector<RouterSend> TrafficSessions::Poll(ConnectionId connection,
                                               const traffic::TrafficPoll& poll, Instant now,
                                               const std::string& feed, traffic::QuotaGrant quota) {
-  census_.Heard(poll.router, now);
-  if (sessions_.insert(connection).second) new_.insert(connection);
+  routers_.RecordPoll(poll.router, now);
+  if (sessions_.insert(connection).second) hints_pending_.insert(connection);
   std::vector<RouterSend> sends;
   const bool lacks_state = poll.wants_state && poll.version != state_.version();
   StateFeed::Message state = lacks_state ? StateFor(poll.version, now) : nullptr;
   if (!poll.wants_state) {
     feed_.Disconnect(connection);
   } else if (state || !lacks_state) {
-    feed_.Follow(connection);
+    feed_.MarkCurrent(connection);
   }
   if (state) sends.push_back({connection, std::move(state)});
   traffic::TrafficUpdate answer;
   answer.sequence = poll.sequence;
   answer.base = answer.version = state_.version();
   answer.configuration = state_.configuration().current().version;
-  answer.routers = census_.Count(now);
-  answer.router_place = census_.PlaceOf(poll.router, now);
+  answer.routers = routers_.Count(now);
+  answer.router_place = routers_.IndexOf(poll.router, now);
   answer.feed = feed;
   answer.quota = std::move(quota);
   sends.push_back({connection, std::make_shared<const ControlToRouter>(std::move(answer))});
@@ -50,15 +50,16 @@
   return message;
 }
 
-void TrafficSessions::TellAll(const traffic::TrafficHints& hints,
-                              std::vector<RouterSend>& sends) const {
+void TrafficSessions::BroadcastHints(const traffic::TrafficHints& hints,
+                                     std::vector<RouterSend>& sends) const {
   const auto message = std::make_shared<const ControlToRouter>(hints);
   for (const ConnectionId connection : sessions_) sends.push_back({connection, message});
 }
 
-void TrafficSessions::TellNew(const traffic::TrafficHints& hints, std::vector<RouterSend>& sends) {
+void TrafficSessions::SendInitialHints(const traffic::TrafficHints& hints,
+                                       std::vector<RouterSend>& sends) {
   const auto message = std::make_shared<const ControlToRouter>(hints);
-  for (const ConnectionId connection : std::exchange(new_, {})) {
+  for (const ConnectionId connection : std::exchange(hints_pending_, {})) {
     sends.push_back({connection, message});
   }
 }
