--- a/include/graniteseam/routing/concurrency_window.h
+++ b/include/graniteseam/routing/concurrency_window.h
@@ -21,7 +21,7 @@
 
   void SetMaximum(std::uint32_t maximum);
   /// Free places; none while the server is left alone.
-  std::uint32_t Room(Instant now) const;
+  std::uint32_t AvailableSlots(Instant now) const;
   void OnSent() { ++in_flight_; }
   /// An answer came; the window grows when it was in use.
   void OnAnswered(Duration latency, Instant now);
@@ -36,7 +36,7 @@
  private:
   double Growth(Instant now) const;
   void Pause(Instant now);
-  void Leave();
+  void ReleaseSlot();
 
   double maximum_;
   double size_;
--- a/include/graniteseam/routing/outlier_detector.h
+++ b/include/graniteseam/routing/outlier_detector.h
@@ -21,7 +21,8 @@
                                           ///< there are two or more.
   Duration ejection{1'000'000};           ///< Times the number of ejections in a row.
   Duration ejection_maximum{30'000'000};
-  Duration forgive_after{60'000'000};  ///< Good for this long: the next ejection is short again.
+  Duration ejection_reset_after{
+      60'000'000};  ///< Good for this long: the next ejection is short again.
 };
 
 /// Ejects outliers from one pool (Envoy's outlier detection is the model).
--- a/include/graniteseam/routing/request_state.h
+++ b/include/graniteseam/routing/request_state.h
@@ -82,7 +82,7 @@
 
   /// Until when something outside may be waited for; what is left then is the caller's, to go
   /// elsewhere.
-  Instant PatienceEnd(Instant now) const;
+  Instant HoldDeadline(Instant now) const;
 
   /// The outcome of giving up for `reason` now. Attempts in flight must be cancelled; they count as
   /// may have run.
--- a/include/graniteseam/routing/server_selector.h
+++ b/include/graniteseam/routing/server_selector.h
@@ -47,16 +47,16 @@
   std::optional<ServerId> Choose(const std::vector<ServerId>& avoided, Instant now);
 
   /// Free places of all servers that may be chosen.
-  std::size_t PoolRoom(Instant now) const;
+  std::size_t PoolAvailableSlots(Instant now) const;
   /// Free places at one server; 0 when it is unknown.
-  std::size_t RoomAt(const ServerId& server, Instant now) const;
+  std::size_t AvailableSlotsAt(const ServerId& server, Instant now) const;
   /// A number for the server that stays the same while it is known; never 0.
   std::uint32_t LaneOf(const ServerId& server) const;
   /// The server with this number, or nullptr.
   const ServerId* ServerOfLane(std::uint32_t lane) const;
   /// Whether new work may go to the server.
   bool AcceptsNewWork(const ServerId& server) const;
-  bool Knows(const ServerId& server) const { return servers_.contains(server); }
+  bool HasServer(const ServerId& server) const { return servers_.contains(server); }
   const std::string& AddressOf(const ServerId& server) const;
 
   /// Whether a server has been without new work for so long that its promise is due. A keyed server
@@ -78,7 +78,7 @@
   /// The concurrent requests that the servers took, as their windows found out.
   double Capacity() const;
   /// A time after which most answers have come: mean plus four mean deviations (RFC 6298's rule).
-  std::optional<Duration> SlowAnswer() const;
+  std::optional<Duration> SlowAnswerThreshold() const;
   std::size_t EjectedCount(Instant now) const { return outliers_.EjectedCount(now); }
   std::size_t size() const { return order_.size(); }
 
@@ -104,13 +104,13 @@
   Server* Find(const ServerId& server) const;
   void Insert(const control::ServerEntry& entry, std::uint32_t window_maximum, Instant now);
   void DropIfIdle(Server& server);
-  bool MayTake(const Server& server, Instant now) const;
+  bool IsEligible(const Server& server, Instant now) const;
   double Score(const Server& server, Instant now) const;
   Server* ChooseAmongAll(const std::vector<ServerId>& avoided, Instant now) const;
   /// The part of a server's latency that is not forgotten yet.
-  double Memory(const Server& server, Instant now) const;
+  double LatencyWeight(const Server& server, Instant now) const;
   double LatencyNow(const Server& server, Instant now) const;
-  void LearnLatency(Server& server, Duration latency, Instant now);
+  void UpdateLatency(Server& server, Duration latency, Instant now);
 
   SelectorOptions options_;
   OutlierDetector outliers_;
--- a/src/routing/concurrency_window.cc
+++ b/src/routing/concurrency_window.cc
@@ -14,7 +14,7 @@
 /// ...by this factor...
 constexpr double kSlowGrowth = 1.0 / 16.0;
 /// ...unless the last shed is this long ago.
-constexpr Duration kShedForgotten{2'000'000};
+constexpr Duration kSlowGrowthPeriod{2'000'000};
 /// With no more than this many in flight, a shed means that the server wants no work at all.
 constexpr std::uint32_t kAlmostIdle = 1;
 constexpr Duration kPauseFirst{20'000};
@@ -30,7 +30,7 @@
   size_ = std::min(size_, maximum_);
 }
 
-std::uint32_t ConcurrencyWindow::Room(Instant now) const {
+std::uint32_t ConcurrencyWindow::AvailableSlots(Instant now) const {
   if (now < paused_until_) return 0;
   const auto places = static_cast<std::uint32_t>(size_);
   return places > in_flight_ ? places - in_flight_ : 0;
@@ -43,7 +43,7 @@
   pause_ = Duration{0};
   paused_until_ = Instant{};
   latency_ += (latency - latency_) / kLatencySmoothing;
-  Leave();
+  ReleaseSlot();
 }
 
 void ConcurrencyWindow::OnShed(Instant now) {
@@ -54,14 +54,14 @@
     size_ = std::max(1.0, shed_size_ * kDecrease);
     shrunk_at_ = now;
   }
-  Leave();
+  ReleaseSlot();
 }
 
-void ConcurrencyWindow::OnEnded() { Leave(); }
+void ConcurrencyWindow::OnEnded() { ReleaseSlot(); }
 
 double ConcurrencyWindow::Growth(Instant now) const {
   if (!has_shed_) return 1.0;
-  const bool near = size_ >= shed_size_ * kNearShedSize && now - shrunk_at_ < kShedForgotten;
+  const bool near = size_ >= shed_size_ * kNearShedSize && now - shrunk_at_ < kSlowGrowthPeriod;
   return (near ? kSlowGrowth : 1.0) / size_;
 }
 
@@ -71,7 +71,7 @@
   paused_until_ = now + pause_;
 }
 
-void ConcurrencyWindow::Leave() {
+void ConcurrencyWindow::ReleaseSlot() {
   if (in_flight_ > 0) --in_flight_;
 }
 
--- a/src/routing/outlier_detector.cc
+++ b/src/routing/outlier_detector.cc
@@ -72,8 +72,8 @@
 
 bool OutlierDetector::Eject(Record& record, Instant now) {
   if (now < record.ejected_until || !MayEject(now)) return false;
-  const bool forgiven =
-      record.ejected_until != Instant{} && now - record.ejected_until >= options_.forgive_after;
+  const bool forgiven = record.ejected_until != Instant{} &&
+                        now - record.ejected_until >= options_.ejection_reset_after;
   record.ejections_in_a_row = forgiven ? 1 : record.ejections_in_a_row + 1;
   record.ejected_until =
       now + std::min(options_.ejection_maximum, options_.ejection * record.ejections_in_a_row);
--- a/src/routing/problem.cc
+++ b/src/routing/problem.cc
@@ -69,7 +69,7 @@
           "Check the service's name in the path."};
 }
 
-Error GroupMayNot(const GroupName& group, const ServiceName& service) {
+Error GroupNotAllowed(const GroupName& group, const ServiceName& service) {
   return {ErrorKind::kPermissionDenied,
           "The group \"" + group.value + "\" may not call the service \"" + service.value + "\".",
           "Check Graniteseam-Group, or have the service added to the group by a new bundle."};
@@ -102,13 +102,13 @@
           "Send a shorter body."};
 }
 
-Error NotAskedJournal(Error reason) {
+Error JournalNotConsulted(Error reason) {
   reason.message += " Whether an earlier sending of this operation ran was not looked up.";
   reason.remedy = "Send it again with the same Idempotency-Key after the time in Retry-After.";
   return reason;
 }
 
-Error JournalSilent() {
+Error JournalTimedOut() {
   return {ErrorKind::kUnavailable, "The operation journal did not answer in time.",
           "Send the request again with the same Idempotency-Key after the time in Retry-After."};
 }
--- a/src/routing/problem.h
+++ b/src/routing/problem.h
@@ -19,16 +19,16 @@
 Error Stopping();
 Error TooManyRequests();
 Error UnknownService(const ServiceName& service);
-Error GroupMayNot(const GroupName& group, const ServiceName& service);
+Error GroupNotAllowed(const GroupName& group, const ServiceName& service);
 Error KeyNotOfGroup(const GroupName& group, const std::string& prefix);
 Error WrongPathForm(const ServiceName& service, bool keyed);
 Error OperationIdMissing(const ServiceName& service);
 Error BodyTooLarge(std::int64_t bytes_maximum);
 /// For an operation that is refused before the journal said whether an earlier sending of it ran:
 /// `reason`'s kind and words, and what is known about the outcome.
-Error NotAskedJournal(Error reason);
+Error JournalNotConsulted(Error reason);
 /// The journal did not answer a claim in time; nothing was sent.
-Error JournalSilent();
+Error JournalTimedOut();
 /// For a claim's verdict other than kClaimed and kAnswered with an answer.
 Error ClaimRefused(control::ClaimVerdict verdict);
 
--- a/src/routing/request_ending.cc
+++ b/src/routing/request_ending.cc
@@ -25,7 +25,7 @@
   answer.outcome = OutcomeOfGivingUp(live);
   const bool unknown = answer.outcome == RequestOutcome::kOutcomeUnknown;
   if (unknown && !live.state.may_have_run()) {
-    answer.error = NotAskedJournal(
+    answer.error = JournalNotConsulted(
         error.message.empty() ? GivenUp(error.kind, RequestOutcome::kNotRun) : error);
   } else if (unknown || error.message.empty()) {
     answer.error = GivenUp(error.kind, answer.outcome);
@@ -92,7 +92,7 @@
   ReleasePlace(live, now);
   SetHeld(live, false);
   ClearTimer(live);
-  NoteUse(live, now);
+  RecordUsage(live, now);
   DispatchLater(live.service);
   live_.erase(live.caller.number);
 }
@@ -101,7 +101,7 @@
   if (!live.has_place) return;
   live.has_place = false;
   live.service->limiter().Release(live.caller.group, now);
-  NoteUse(live, now);
+  RecordUsage(live, now);
   DispatchLater(live.service);
 }
 
@@ -134,8 +134,8 @@
     if (service->limiter().QueuedTotal() == 0) continue;
     for (const admission::Lane lane : service->limiter().WaitingLanes()) {
       for (const RequestNumber number :
-           service->limiter().Dispatch(lane, service->RoomInLane(lane, now))) {
-        Admitted(*live_.at(number), now, effects);
+           service->limiter().Dispatch(lane, service->AvailableSlotsInLane(lane, now))) {
+        OnAdmitted(*live_.at(number), now, effects);
       }
     }
     // Ejections and pauses of servers end by time, without an event.
--- a/src/routing/request_flow.cc
+++ b/src/routing/request_flow.cc
@@ -52,7 +52,7 @@
   ServiceRouter& service = *live.service;
   service.selector().OnEnd(ended.server, result.end, result.status, now - ended.sent_at, now);
   if (service.keyed() && result.end == AttemptEnd::kAnswered) {
-    service.NoteShardLoad(live.shard, now - ended.sent_at);
+    service.RecordShardLoad(live.shard, now - ended.sent_at);
   }
   if (result.end != AttemptEnd::kAnswered) {
     live.avoided.push_back(ended.server);
@@ -181,7 +181,7 @@
       Place(live, now, effects);
       return;
     case Live::Phase::kClaiming:
-      GiveUp(live, JournalSilent(), std::nullopt, now, effects);
+      GiveUp(live, JournalTimedOut(), std::nullopt, now, effects);
       return;
     case Live::Phase::kSending:
       Hedge(live, now, effects);
@@ -221,8 +221,8 @@
   }
 }
 
-void RequestFlow::NoteUse(Live& live, Instant now) {
-  live.service->NoteUse(live.caller.group, now);
+void RequestFlow::RecordUsage(Live& live, Instant now) {
+  live.service->RecordUsage(live.caller.group, now);
 }
 
 double RequestFlow::Jitter() {
--- a/src/routing/request_flow.h
+++ b/src/routing/request_flow.h
@@ -64,7 +64,7 @@
   struct Flight;
 
   void Place(Live& live, Instant now, RouterEffects& effects);
-  void Admitted(Live& live, Instant now, RouterEffects& effects);
+  void OnAdmitted(Live& live, Instant now, RouterEffects& effects);
   std::optional<ServerId> ChooseServer(Live& live, Instant now);
   void Claim(Live& live, Instant now);
   void SendReserved(Live& live, Instant now, RouterEffects& effects);
@@ -91,7 +91,7 @@
   void SetHeld(Live& live, bool held);
   void ReleasePlace(Live& live, Instant now);
   void ReleaseReservation(Live& live);
-  void NoteUse(Live& live, Instant now);
+  void RecordUsage(Live& live, Instant now);
   void DispatchLater(const std::shared_ptr<ServiceRouter>& service);
   void Dispatch(Instant now, RouterEffects& effects);
   double Jitter();
--- a/src/routing/request_sending.cc
+++ b/src/routing/request_sending.cc
@@ -24,18 +24,18 @@
   live.lane = lane;
   const admission::OfferResult offer =
       service.limiter().Offer({live.caller.number, live.caller.group, lane, live.state.deadline()},
-                              service.RoomInLane(lane, now), now);
+                              service.AvailableSlotsInLane(lane, now), now);
   if (offer.displaced) {
     GiveUp(*live_.at(*offer.displaced), ErrorKind::kOverloaded, offer.retry_after, now, effects);
   }
   switch (offer.verdict) {
     case admission::Verdict::kAdmitted:
-      Admitted(live, now, effects);
+      OnAdmitted(live, now, effects);
       return;
     case admission::Verdict::kQueued:
       live.phase = Live::Phase::kQueued;
       Wait(live, offer.give_up_at);
-      NoteUse(live, now);
+      RecordUsage(live, now);
       return;
     case admission::Verdict::kRefused:
       GiveUp(live, ErrorKind::kOverloaded, offer.retry_after, now, effects);
@@ -43,10 +43,10 @@
   }
 }
 
-void RequestFlow::Admitted(Live& live, Instant now, RouterEffects& effects) {
+void RequestFlow::OnAdmitted(Live& live, Instant now, RouterEffects& effects) {
   ClearTimer(live);
   live.has_place = true;
-  NoteUse(live, now);
+  RecordUsage(live, now);
   const std::optional<ServerId> server = ChooseServer(live, now);
   if (!server) {
     ReleasePlace(live, now);
@@ -66,7 +66,7 @@
   ServerSelector& selector = live.service->selector();
   if (!live.service->keyed()) return selector.Choose(live.avoided, now);
   const Route& route = table_.Find(live.service->service().name, live.shard);
-  if (route.state != control::ShardState::kAssigned || !selector.Knows(route.owner)) {
+  if (route.state != control::ShardState::kAssigned || !selector.HasServer(route.owner)) {
     return std::nullopt;
   }
   if (selector.DrainedForLong(route.owner, now)) return std::nullopt;
@@ -79,7 +79,7 @@
   claims_[*live.claim] = live.caller.number;
   journal_.AddClaim({*live.caller.operation, live.caller.service, live.caller.group,
                      live.caller.request_digest, *live.claim});
-  Wait(live, live.state.PatienceEnd(now));
+  Wait(live, live.state.HoldDeadline(now));
 }
 
 void RequestFlow::OnClaimResult(const control::ClaimResult& result, Instant now,
@@ -169,7 +169,7 @@
   send.hedged = service.service().hedging && service.service().repeatable && !service.keyed();
   live.flights.push_back(std::move(flight));
   if (send.hedged && live.flights.size() == 1) {
-    if (const std::optional<Duration> slow = service.selector().SlowAnswer()) {
+    if (const std::optional<Duration> slow = service.selector().SlowAnswerThreshold()) {
       Wait(live, now + *slow);
     }
   }
@@ -202,7 +202,7 @@
   }
   SetHeld(live, true);
   Wait(live, decision.at);
-  NoteUse(live, now);
+  RecordUsage(live, now);
 }
 
 }  // namespace graniteseam::routing
--- a/src/routing/request_state.cc
+++ b/src/routing/request_state.cc
@@ -84,7 +84,7 @@
   return may_have_run_ ? RequestOutcome::kOutcomeUnknown : RequestOutcome::kNotRun;
 }
 
-Instant RequestState::PatienceEnd(Instant now) const {
+Instant RequestState::HoldDeadline(Instant now) const {
   const auto left = static_cast<double>((deadline_ - now).count());
   return now + Duration(std::llround(std::max(0.0, left * options_.hold_fraction)));
 }
@@ -100,7 +100,7 @@
 
 Instant RequestState::HoldUntil(Instant now) {
   if (!hold_until_) {
-    hold_until_ = std::min(now + options_.hold_maximum, PatienceEnd(now));
+    hold_until_ = std::min(now + options_.hold_maximum, HoldDeadline(now));
   }
   return *hold_until_;
 }
--- a/src/routing/router_node.cc
+++ b/src/routing/router_node.cc
@@ -79,7 +79,7 @@
   const bundle::Group* group = bundle_->FindGroup(request.group);
   if (group == nullptr || std::find(group->services.begin(), group->services.end(),
                                     request.service) == group->services.end()) {
-    return GroupMayNot(request.group, request.service);
+    return GroupNotAllowed(request.group, request.service);
   }
   const bool keyed = service->kind == bundle::ServiceKind::kKeyed;
   if (keyed != request.key.has_value()) return WrongPathForm(request.service, keyed);
@@ -117,7 +117,7 @@
   // An operation may have been sent before, and this router does not know what came of that.
   const bool may_be_resend = request.operation.has_value() && !Repeatable(request.service);
   answer.outcome = may_be_resend ? RequestOutcome::kOutcomeUnknown : RequestOutcome::kNotRun;
-  answer.error = may_be_resend ? NotAskedJournal(std::move(error)) : std::move(error);
+  answer.error = may_be_resend ? JournalNotConsulted(std::move(error)) : std::move(error);
   answer.status = StatusOf(answer.error.kind, answer.outcome);
   answer.retry_after = retry_after;
   effects.answers.push_back(std::move(answer));
--- a/src/routing/server_selector.cc
+++ b/src/routing/server_selector.cc
@@ -81,7 +81,7 @@
   int seen = 0;
   for (int tries = 0; tries < kSampleTries && seen < kChoices; ++tries) {
     Server* server = order_[SplitMix64(random_) % order_.size()];
-    if (server == best || !MayTake(*server, now) || Contains(avoided, server->id)) continue;
+    if (server == best || !IsEligible(*server, now) || Contains(avoided, server->id)) continue;
     ++seen;
     const double score = Score(*server, now);
     if (best != nullptr && score >= best_score) continue;
@@ -101,7 +101,7 @@
   Server* best = nullptr;
   double best_score = 0.0;
   for (Server* server : order_) {
-    if (!MayTake(*server, now) || Contains(avoided, server->id)) continue;
+    if (!IsEligible(*server, now) || Contains(avoided, server->id)) continue;
     const double score = Score(*server, now);
     if (best != nullptr && score >= best_score) continue;
     best = server;
@@ -110,17 +110,17 @@
   return best;
 }
 
-std::size_t ServerSelector::PoolRoom(Instant now) const {
+std::size_t ServerSelector::PoolAvailableSlots(Instant now) const {
   std::size_t room = 0;
   for (const Server* server : order_) {
-    if (MayTake(*server, now)) room += server->window.Room(now);
+    if (IsEligible(*server, now)) room += server->window.AvailableSlots(now);
   }
   return room;
 }
 
-std::size_t ServerSelector::RoomAt(const ServerId& server, Instant now) const {
+std::size_t ServerSelector::AvailableSlotsAt(const ServerId& server, Instant now) const {
   const Server* found = Find(server);
-  return found == nullptr ? 0 : found->window.Room(now);
+  return found == nullptr ? 0 : found->window.AvailableSlots(now);
 }
 
 std::uint32_t ServerSelector::LaneOf(const ServerId& server) const {
@@ -167,7 +167,7 @@
       if (status >= kServerErrors) {
         outliers_.OnFailed(id, now);
       } else {
-        LearnLatency(*server, latency, now);
+        UpdateLatency(*server, latency, now);
         outliers_.OnAnswered(id, latency, now);
       }
       break;
@@ -197,7 +197,7 @@
   return capacity;
 }
 
-std::optional<Duration> ServerSelector::SlowAnswer() const {
+std::optional<Duration> ServerSelector::SlowAnswerThreshold() const {
   if (answers_ < kAnswersForEstimate) return std::nullopt;
   return Duration(std::llround(latency_us_ + 4.0 * deviation_us_));
 }
@@ -213,8 +213,8 @@
   servers_.erase(ServerId(server.id));
 }
 
-bool ServerSelector::MayTake(const Server& server, Instant now) const {
-  return server.accepts_new_work && server.window.Room(now) > 0 &&
+bool ServerSelector::IsEligible(const Server& server, Instant now) const {
+  return server.accepts_new_work && server.window.AvailableSlots(now) > 0 &&
          !outliers_.Ejected(server.id, now);
 }
 
@@ -228,7 +228,7 @@
          options_.slow_start.Weight(server.since, now);
 }
 
-double ServerSelector::Memory(const Server& server, Instant now) const {
+double ServerSelector::LatencyWeight(const Server& server, Instant now) const {
   const auto age = static_cast<double>((now - server.latency_at).count());
   return std::exp2(-age / static_cast<double>(options_.latency_half_life.count()));
 }
@@ -236,16 +236,16 @@
 double ServerSelector::LatencyNow(const Server& server, Instant now) const {
   const double pool = latency_us_ > 0.0 ? latency_us_ : kLatencyUnknownUs;
   if (server.latency_us <= 0.0) return pool;
-  return pool + (server.latency_us - pool) * Memory(server, now);
+  return pool + (server.latency_us - pool) * LatencyWeight(server, now);
 }
 
-void ServerSelector::LearnLatency(Server& server, Duration latency, Instant now) {
+void ServerSelector::UpdateLatency(Server& server, Duration latency, Instant now) {
   const auto sample = static_cast<double>(latency.count());
   if (server.latency_us <= 0.0) {
     server.latency_us = sample;
   } else {
     // The more was forgotten, the more the first answer after a silence counts.
-    const double weight = std::max(kLatencySmoothing, 1.0 - Memory(server, now));
+    const double weight = std::max(kLatencySmoothing, 1.0 - LatencyWeight(server, now));
     server.latency_us += weight * (sample - server.latency_us);
   }
   server.latency_at = now;
--- a/src/routing/service_router.cc
+++ b/src/routing/service_router.cc
@@ -59,18 +59,18 @@
   limiter_.Configure(settings);
 }
 
-std::size_t ServiceRouter::RoomInLane(admission::Lane lane, Instant now) const {
-  if (!keyed()) return selector_.PoolRoom(now);
+std::size_t ServiceRouter::AvailableSlotsInLane(admission::Lane lane, Instant now) const {
+  if (!keyed()) return selector_.PoolAvailableSlots(now);
   const ServerId* server = selector_.ServerOfLane(lane);
-  return server == nullptr ? 0 : selector_.RoomAt(*server, now);
+  return server == nullptr ? 0 : selector_.AvailableSlotsAt(*server, now);
 }
 
-void ServiceRouter::NoteUse(const GroupName& group, Instant now) {
+void ServiceRouter::RecordUsage(const GroupName& group, Instant now) {
   const double waiting = static_cast<double>(limiter_.Queued(group)) + held_[group];
   usage_[group].Set(static_cast<double>(limiter_.InFlight(group)), waiting, now);
 }
 
-void ServiceRouter::NoteShardLoad(std::uint32_t shard, Duration busy) {
+void ServiceRouter::RecordShardLoad(std::uint32_t shard, Duration busy) {
   Load& load = shard_load_[shard];
   load.requests += 1.0;
   load.busy_us += static_cast<double>(busy.count());
--- a/src/routing/service_router.h
+++ b/src/routing/service_router.h
@@ -59,14 +59,14 @@
   }
 
   /// Free places for a lane: those of the pool, or of the lane's server.
-  std::size_t RoomInLane(admission::Lane lane, Instant now) const;
+  std::size_t AvailableSlotsInLane(admission::Lane lane, Instant now) const;
 
   void OnOffered(const GroupName& group) { usage_[group].OnOffered(); }
   /// Counts a request that waits outside of the limiter's queue.
   void AddHeld(const GroupName& group, int change) { held_[group] += change; }
   /// Notes a group's present use; called after each change.
-  void NoteUse(const GroupName& group, Instant now);
-  void NoteShardLoad(std::uint32_t shard, Duration busy);
+  void RecordUsage(const GroupName& group, Instant now);
+  void RecordShardLoad(std::uint32_t shard, Duration busy);
 
   /// Moves the figures since the last call into a renewal.
   void Report(control::RouterRenewal& renewal, Instant now);
--- a/tests/routing/decision_test.cc
+++ b/tests/routing/decision_test.cc
@@ -89,7 +89,7 @@
 Test(concurrency_window, shrinks_once_an_answer_time_when_the_server_sheds) {
   ConcurrencyWindow window(64);
   for (int i = 0; i < 200; ++i) {
-    while (window.Room(kNow) > 0) window.OnSent();
+    while (window.AvailableSlots(kNow) > 0) window.OnSent();
     window.OnAnswered(1ms, kNow);
   }
   const double grown = window.size();
@@ -108,8 +108,8 @@
     window.OnShed(kNow + i * 1s);
   }
   cr_assert_eq(window.size(), 1.0);
-  cr_assert_eq(window.Room(kNow + 299s + 499ms), 0);
-  cr_assert_eq(window.Room(kNow + 299s + 500ms), 1, "for half a second at most");
+  cr_assert_eq(window.AvailableSlots(kNow + 299s + 499ms), 0);
+  cr_assert_eq(window.AvailableSlots(kNow + 299s + 500ms), 1, "for half a second at most");
 }
 
 Test(concurrency_window, leaves_a_server_alone_that_wants_no_work) {
@@ -119,24 +119,24 @@
   for (int round = 0; round < 4; ++round) {
     window.OnSent();
     window.OnShed(now);
-    cr_assert_eq(window.Room(now + pause - 1us), 0);
-    cr_assert_gt(window.Room(now + pause), 0, "it is asked again after the pause");
+    cr_assert_eq(window.AvailableSlots(now + pause - 1us), 0);
+    cr_assert_gt(window.AvailableSlots(now + pause), 0, "it is asked again after the pause");
     now += pause;
     pause *= 2;
   }
   window.OnSent();
   window.OnAnswered(1ms, now);
-  cr_assert_gt(window.Room(now), 0, "an answer ends the pauses");
+  cr_assert_gt(window.AvailableSlots(now), 0, "an answer ends the pauses");
   window.OnSent();
   window.OnShed(now);
-  cr_assert_gt(window.Room(now + 20ms), 0, "the next pause is short again");
+  cr_assert_gt(window.AvailableSlots(now + 20ms), 0, "the next pause is short again");
 }
 
 Test(concurrency_window, grows_slowly_near_the_size_that_was_shed) {
   const auto answers_until = [](ConcurrencyWindow& window, double size, Instant now) {
     int answers = 0;
     while (window.size() < size) {
-      while (window.Room(now) > 0) window.OnSent();
+      while (window.AvailableSlots(now) > 0) window.OnSent();
       window.OnAnswered(1ms, now);
       ++answers;
     }
@@ -144,7 +144,7 @@
   };
   ConcurrencyWindow window(64);
   answers_until(window, 32.0, kNow);
-  while (window.Room(kNow) > 0) window.OnSent();
+  while (window.AvailableSlots(kNow) > 0) window.OnSent();
   window.OnShed(kNow);
   const double shrunk = window.size();
   ConcurrencyWindow later = window;
@@ -225,7 +225,7 @@
   selector.Reserve({"c"});
   selector.Reserve({"c"});
   cr_assert_not(selector.Choose({}, kNow).has_value());
-  cr_assert_eq(selector.PoolRoom(kNow), 0);
+  cr_assert_eq(selector.PoolAvailableSlots(kNow), 0);
   cr_assert_eq(selector.Choose({}, kNow + 1s)->value, "b", "the ejection is over");
 }
 
@@ -235,10 +235,10 @@
   selector.Update(Pointers(servers), 2, kNow);
   selector.Reserve({"a"});
   selector.Update({}, 2, kNow);
-  cr_assert(selector.Knows({"a"}));
+  cr_assert(selector.HasServer({"a"}));
   cr_assert_not(selector.AcceptsNewWork({"a"}));
   selector.OnEnd({"a"}, AttemptEnd::kAnswered, 200, 1ms, kNow);
-  cr_assert_not(selector.Knows({"a"}));
+  cr_assert_not(selector.HasServer({"a"}));
 }
 
 Test(request_state, never_sends_again_what_may_have_run_and_may_not_be_repeated) {
