--- a/src/daemon/gateway/gateway_process.cc
+++ b/src/daemon/gateway/gateway_process.cc
@@ -94,7 +94,7 @@
   control.router = {settings_.id};
   control.control = settings_.control;
   control.security = settings_.security;
-  control.silence_limit = settings_.poll_interval;
+  control.answer_timeout = settings_.poll_interval;
   control_ = std::make_unique<protocol::RouterControlClient>(
       control, metrics_registry_,
       [this](const control::ControlToRouter& answer) { OnControlMessage(answer); },
@@ -103,7 +103,7 @@
                       runtime::EventLine(connected ? "control_connected" : "control_lost"));
         if (connected) asio::post(loop_.context(), [this] { Poll(); });
       },
-      [this](const protocol::LeaderTurn& turn) {
+      [this](const protocol::LeaderSwitch& turn) {
         events_.Write(runtime::EventWeight::kNotable, runtime::EventLine("control_turn")
                                                           .Add("from", turn.from)
                                                           .Add("to", turn.to)
@@ -386,7 +386,7 @@
   if (update.limits) ApplyLimits();
   metrics_.OnVersion(node_.version(), node_.configuration().value);
   if (node_.configuration() != before) LogConfiguration(update, received);
-  control_->NoteVersion(node_.version());
+  control_->SetStateVersion(node_.version());
   if (node_.feed() != feed_) FollowFeed();
   if (node_.ConfigurationIsUntold()) Poll();
   if (!was_ready && node_.Ready()) {
@@ -401,7 +401,7 @@
                                                     .Add("to", node_.feed())
                                                     .Add("version", node_.version()));
   feed_ = node_.feed();
-  control_->TakeStateFrom(feed_);
+  control_->SubscribeToState(feed_);
 }
 
 void GatewayProcess::OnFeedLost() {
--- a/src/protocol/connection.cc
+++ b/src/protocol/connection.cc
@@ -21,13 +21,13 @@
 constexpr int kKeepAliveProbes = 3;
 constexpr int kUnacknowledgedMilliseconds = 5'000;
 
-// In calls of Watch(). A second without an answer: routers poll each 0.5 s and are answered within
-// milliseconds, and a peer that is short of processor time is late by some hundred of them.
-constexpr int kUnansweredLooks = 4;
+// In calls of CheckLiveness(). A second without an answer: routers poll each 0.5 s and are answered
+// within milliseconds, and a peer that is short of processor time is late by some hundred of them.
+constexpr int kUnansweredChecksMaximum = 4;
 // 2 s without anything to say.
-constexpr int kIdleLooks = 8;
+constexpr int kIdleChecksMaximum = 8;
 // 5 s: longer than a dialling side that is there says nothing.
-constexpr int kSilentLooks = 20;
+constexpr int kSilentChecksMaximum = 20;
 
 constexpr std::size_t kReadBytesAtFirst = 2'048;
 constexpr std::size_t kReadBytesMaximum = 65'536;
@@ -117,7 +117,7 @@
 bool Connection::Send(std::string_view payload) {
   if (!HasRoomFor(payload.size())) return false;
   Queue(EncodeFrame(FrameKind::kMessage, payload));
-  NoteSent();
+  OnFrameQueued();
   return true;
 }
 
@@ -128,7 +128,7 @@
   } else {
     Queue(std::move(frame));
   }
-  NoteSent();
+  OnFrameQueued();
   return true;
 }
 
@@ -140,48 +140,48 @@
   return false;
 }
 
-void Connection::Watch() {
+void Connection::CheckLiveness() {
   if (!ready_ || closed_ || refused_) return;
   if (side_ == Side::kDialled) {
-    WatchDialled();
+    CheckDialledLiveness();
   } else {
-    WatchAccepted();
+    CheckAcceptedLiveness();
   }
 }
 
-void Connection::WatchDialled() {
-  if (unanswered_ && ++silent_looks_ >= kUnansweredLooks) {
+void Connection::CheckDialledLiveness() {
+  if (unanswered_ && ++silent_checks_ >= kUnansweredChecksMaximum) {
     Close({ErrorKind::kTransport, "The peer left what was sent to it unanswered.",
            "It is dialled again by itself; check the peer and the network when this repeats."});
     return;
   }
-  if (++idle_looks_ < kIdleLooks) return;
+  if (++idle_checks_ < kIdleChecksMaximum) return;
   Queue(EncodeFrame(FrameKind::kKeepAlive, {}));
-  NoteSent();
+  OnFrameQueued();
 }
 
-void Connection::WatchAccepted() {
-  if (++silent_looks_ >= kSilentLooks) {
+void Connection::CheckAcceptedLiveness() {
+  if (++silent_checks_ >= kSilentChecksMaximum) {
     Close({ErrorKind::kTransport, "The peer fell silent.",
            "It dials again by itself; check the peer and the network when this repeats."});
     return;
   }
   if (!unanswered_) return;
   Queue(EncodeFrame(FrameKind::kKeepAlive, {}));
-  NoteSent();
+  OnFrameQueued();
 }
 
-void Connection::NoteSent() {
-  idle_looks_ = 0;
+void Connection::OnFrameQueued() {
+  idle_checks_ = 0;
   if (side_ == Side::kAccepted) {
     unanswered_ = false;
   } else if (!std::exchange(unanswered_, true)) {
-    silent_looks_ = 0;
+    silent_checks_ = 0;
   }
 }
 
-void Connection::NoteReceived() {
-  silent_looks_ = 0;
+void Connection::OnBytesReceived() {
+  silent_checks_ = 0;
   unanswered_ = side_ == Side::kAccepted;
 }
 
@@ -228,10 +228,10 @@
   writing_ = false;
   in_flight_.clear();
   if (!waiting_.empty()) return Write();
-  if (refused_) EndSending();
+  if (refused_) ShutdownSend();
 }
 
-void Connection::EndSending() {
+void Connection::ShutdownSend() {
   ErrorCode ignored;
   socket_.shutdown(Socket::shutdown_send, ignored);
 }
@@ -249,11 +249,11 @@
   if (closed_) return;
   if (error) return CloseFor(error);
   metrics_.bytes_received.Increment(static_cast<double>(bytes));
-  NoteReceived();
+  OnBytesReceived();
   if (refused_) return Read();
   reader_.Feed({read_buffer_.data(), bytes});
   if (bytes == read_buffer_.size() && bytes < kReadBytesMaximum) read_buffer_.resize(2 * bytes);
-  if (!TakeFrames()) return ReadOn();
+  if (!HandleFrames()) return DiscardInput();
   if (ready_ && !reader_.InFrame()) {
     DisarmDeadline();
   } else if (!deadline_armed_) {
@@ -264,12 +264,12 @@
 
 /// After a refusal: what still arrives is thrown away until the peer has closed, since closing with
 /// unread bytes would let the kernel drop the refusal on its way.
-void Connection::ReadOn() {
+void Connection::DiscardInput() {
   if (!closed_) Read();
 }
 
 /// @return false when no more frames are to be taken.
-bool Connection::TakeFrames() {
+bool Connection::HandleFrames() {
   while (!closed_ && !refused_) {
     const auto outcome = Attempt([&] { return reader_.Next(); });
     if (const Error* error = ErrorOf(outcome)) {
@@ -281,7 +281,7 @@
     // A frame that is whole ends the time limit of its arrival; the next one begins its own.
     if (ready_) DisarmDeadline();
     metrics_.frames_received.Increment();
-    if (const std::optional<Error> refused = TakeFrame(std::move(*frame))) {
+    if (const std::optional<Error> refused = HandleFrame(std::move(*frame))) {
       Refuse(*refused);
       return false;
     }
@@ -289,12 +289,12 @@
   return false;
 }
 
-std::optional<Error> Connection::TakeFrame(Frame frame) {
+std::optional<Error> Connection::HandleFrame(Frame frame) {
   if (frame.kind == FrameKind::kRefusal) {
-    Close(ReadRefusal(frame));
+    Close(DecodeRefusal(frame));
     return std::nullopt;
   }
-  if (!ready_) return TakeHello(frame);
+  if (!ready_) return HandleHello(frame);
   if (frame.kind == FrameKind::kHello) {
     return Error{ErrorKind::kMalformedMessage, "The peer said hello twice.",
                  "Connect only graniteseam's own processes to this port."};
@@ -303,7 +303,7 @@
   return handlers_.on_message(std::move(frame.payload));
 }
 
-std::optional<Error> Connection::TakeHello(const Frame& frame) {
+std::optional<Error> Connection::HandleHello(const Frame& frame) {
   if (frame.kind != FrameKind::kHello) {
     return Error{ErrorKind::kMalformedMessage, "The peer did not say hello first.",
                  "Connect only graniteseam's own processes to this port."};
@@ -320,7 +320,7 @@
   return handlers_.on_ready(peer);
 }
 
-Error Connection::ReadRefusal(const Frame& frame) {
+Error Connection::DecodeRefusal(const Frame& frame) {
   const auto decoded = Attempt([&] { return codec::Decode<Refusal>(frame.payload); });
   if (const Error* error = ErrorOf(decoded)) return *error;
   const Refusal& refusal = std::get<Refusal>(decoded);
--- a/src/protocol/connection.h
+++ b/src/protocol/connection.h
@@ -64,7 +64,7 @@
   bool SendFrame(std::shared_ptr<const std::string> frame);
 
   /// Finds out that the other side hears nothing, or that nothing comes from it any more. To be
-  /// called each kWatchInterval.
+  /// called each kLivenessCheckInterval.
   ///
   /// A connection may fall silent without an end, in one direction or both, while new ones work;
   /// the kernel tells after 5 s, and never where something between acknowledges. A router on such a
@@ -76,7 +76,7 @@
   /// Five bytes each way in 2 s on a connection at rest.
   ///
   /// Counted in calls, not in time: a process that stood still finds what came meanwhile first.
-  void Watch();
+  void CheckLiveness();
 
   void Close(const Error& reason);
   void Close() { Close({ErrorKind::kTransport, "This side closed the connection.", "None."}); }
@@ -92,28 +92,28 @@
   void BeginHello();
   void Read();
   void OnRead(ErrorCode error, std::size_t bytes);
-  void ReadOn();
-  bool TakeFrames();
-  std::optional<Error> TakeFrame(Frame frame);
-  std::optional<Error> TakeHello(const Frame& frame);
-  static Error ReadRefusal(const Frame& frame);
+  void DiscardInput();
+  bool HandleFrames();
+  std::optional<Error> HandleFrame(Frame frame);
+  std::optional<Error> HandleHello(const Frame& frame);
+  static Error DecodeRefusal(const Frame& frame);
   bool HasRoomFor(std::size_t bytes);
   void Queue(std::string_view frame);
   void Queue(std::shared_ptr<const std::string> frame);
   void WriteIfIdle();
   void Write();
   void OnWritten(ErrorCode error);
-  void EndSending();
+  void ShutdownSend();
   /// Tells the peer why, then closes.
   void Refuse(const Error& reason);
   void ArmDeadline(std::chrono::milliseconds span, const char* what);
   void DisarmDeadline();
   void CloseFor(ErrorCode error);
 
-  void WatchDialled();
-  void WatchAccepted();
-  void NoteSent();
-  void NoteReceived();
+  void CheckDialledLiveness();
+  void CheckAcceptedLiveness();
+  void OnFrameQueued();
+  void OnBytesReceived();
 
   template <class Operation>
   void OnStream(Operation operation);
@@ -143,8 +143,9 @@
   std::size_t queued_bytes_ = 0;   ///< Of both.
   /// The dialling side sent something, and the accepting side got something, that is not answered.
   bool unanswered_ = false;
-  int silent_looks_ = 0;  ///< Calls of Watch() since it is unanswered, or since something came.
-  int idle_looks_ = 0;    ///< Calls of Watch() since this side sent something.
+  int silent_checks_ =
+      0;  ///< Calls of CheckLiveness() since it is unanswered, or since something came.
+  int idle_checks_ = 0;  ///< Calls of CheckLiveness() since this side sent something.
   bool writing_ = false;
   bool ready_ = false;
   bool closed_ = false;
--- a/src/protocol/connection_limits.h
+++ b/src/protocol/connection_limits.h
@@ -16,7 +16,7 @@
   std::chrono::milliseconds frame_time{10'000};
 };
 
-/// Between two calls of Connection::Watch(), by whoever keeps the connection.
-inline constexpr std::chrono::milliseconds kWatchInterval{250};
+/// Between two calls of Connection::CheckLiveness(), by whoever keeps the connection.
+inline constexpr std::chrono::milliseconds kLivenessCheckInterval{250};
 
 }  // namespace graniteseam::protocol
--- a/src/protocol/dialer.cc
+++ b/src/protocol/dialer.cc
@@ -11,17 +11,17 @@
 
 namespace asio = boost::asio;
 
-constexpr std::chrono::milliseconds kFirstDelay{20};
-constexpr std::chrono::milliseconds kLongestDelay{400};
-constexpr std::chrono::milliseconds kDialTime{400};
+constexpr std::chrono::milliseconds kDialDelayMinimum{20};
+constexpr std::chrono::milliseconds kDialDelayMaximum{400};
+constexpr std::chrono::milliseconds kDialTimeout{400};
 /// For TLS and hello. With the time for dialling again less than 3 s, after which a machine is
 /// taken to be in touch: the hello may be lost with a connection that falls silent as it is made.
-constexpr std::chrono::milliseconds kFirstHandshakeTime{2'000};
+constexpr std::chrono::milliseconds kHandshakeTimeoutMinimum{2'000};
 /// Doubled up to here with each connection that did not get ready: a far end that is only slow
 /// needs time and not another connection. 66 dialers that came again each 2.4 s kept a relay which
 /// needed 18 ms and more for a connection from leading any on, and their group without a leader for
 /// 48 s.
-constexpr std::chrono::milliseconds kLongestHandshakeTime{8'000};
+constexpr std::chrono::milliseconds kHandshakeTimeoutMaximum{8'000};
 
 }  // namespace
 
@@ -35,8 +35,8 @@
       handlers_(std::move(handlers)),
       socket_(context),
       timer_(context),
-      delay_(kFirstDelay),
-      handshake_time_(kFirstHandshakeTime),
+      delay_(kDialDelayMinimum),
+      handshake_time_(kHandshakeTimeoutMinimum),
       jitter_(static_cast<std::uint32_t>(runtime::RandomBits())) {}
 
 void Dialer::Start() { Dial(); }
@@ -60,7 +60,7 @@
   const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(address_.ip), address_.port);
   socket_.async_connect(endpoint,
                         [self = shared_from_this()](auto error) { self->OnDialled(error); });
-  timer_.expires_after(kDialTime);
+  timer_.expires_after(kDialTimeout);
   timer_.async_wait([self = shared_from_this()](auto error) {
     if (error) return;
     boost::system::error_code ignored;
@@ -71,7 +71,7 @@
 void Dialer::OnDialled(boost::system::error_code error) {
   timer_.cancel();
   if (stopped_) return;
-  if (error) return DialLater(error.message());
+  if (error) return ScheduleDial(error.message());
   Run(std::move(socket_));
 }
 
@@ -83,9 +83,9 @@
   Connection::Handlers handlers;
   handlers.on_ready = [self = shared_from_this()](const Hello& /*peer*/) {
     self->was_ready_ = true;
-    self->handshake_time_ = kFirstHandshakeTime;
+    self->handshake_time_ = kHandshakeTimeoutMinimum;
     self->last_reason_.clear();
-    self->delay_ = kFirstDelay;
+    self->delay_ = kDialDelayMinimum;
     self->handlers_.on_connected();
     return std::optional<Error>();
   };
@@ -94,15 +94,15 @@
   };
   handlers.on_closed = [self = shared_from_this()](const Error& reason) { self->OnClosed(reason); };
   connection_->Start(std::move(handlers));
-  WatchLater();
+  ScheduleLivenessCheck();
 }
 
-void Dialer::WatchLater() {
-  timer_.expires_after(kWatchInterval);
+void Dialer::ScheduleLivenessCheck() {
+  timer_.expires_after(kLivenessCheckInterval);
   timer_.async_wait([self = shared_from_this()](auto error) {
     if (error || !self->connection_) return;
-    self->connection_->Watch();
-    self->WatchLater();
+    self->connection_->CheckLiveness();
+    self->ScheduleLivenessCheck();
   });
 }
 
@@ -110,12 +110,12 @@
   connection_.reset();
   timer_.cancel();
   const bool was_ready = std::exchange(was_ready_, false);
-  if (!was_ready) handshake_time_ = std::min(2 * handshake_time_, kLongestHandshakeTime);
+  if (!was_ready) handshake_time_ = std::min(2 * handshake_time_, kHandshakeTimeoutMaximum);
   if (was_ready) handlers_.on_disconnected();
-  if (!stopped_) DialLater(reason.message);
+  if (!stopped_) ScheduleDial(reason.message);
 }
 
-void Dialer::DialLater(const std::string& reason) {
+void Dialer::ScheduleDial(const std::string& reason) {
   if (reason != last_reason_) {
     last_reason_ = reason;
     runtime::Logger("internal").Info("No connection to {}: {}", ToString(address_), reason);
@@ -126,7 +126,7 @@
   timer_.async_wait([self = shared_from_this()](auto error) {
     if (!error && !self->stopped_) self->Dial();
   });
-  delay_ = std::min(delay_ * 2, kLongestDelay);
+  delay_ = std::min(delay_ * 2, kDialDelayMaximum);
 }
 
 }  // namespace graniteseam::protocol
--- a/src/protocol/dialer.h
+++ b/src/protocol/dialer.h
@@ -40,8 +40,8 @@
   void OnDialled(boost::system::error_code error);
   void Run(Connection::Socket socket);
   void OnClosed(const Error& reason);
-  void DialLater(const std::string& reason);
-  void WatchLater();
+  void ScheduleDial(const std::string& reason);
+  void ScheduleLivenessCheck();
 
   boost::asio::io_context& context_;
   runtime::SocketAddress address_;
--- a/src/protocol/internal_server.cc
+++ b/src/protocol/internal_server.cc
@@ -31,7 +31,7 @@
   Result<void> Start();
   void Accept();
   /// One timer for all connections: hundreds of their own would wake the process as often.
-  void WatchLater();
+  void ScheduleLivenessCheck();
   void SendToRouter(RouterConnectionId id, std::shared_ptr<const std::string> frame);
   void Disconnect();
 
@@ -79,17 +79,17 @@
   port_ = acceptor_.local_endpoint().port();
   asio::post(loop_.context(), [self = shared_from_this()] {
     self->Accept();
-    self->WatchLater();
+    self->ScheduleLivenessCheck();
   });
   return {};
 }
 
-void InternalServer::Impl::WatchLater() {
-  watch_.expires_after(kWatchInterval);
+void InternalServer::Impl::ScheduleLivenessCheck() {
+  watch_.expires_after(kLivenessCheckInterval);
   watch_.async_wait([self = shared_from_this()](auto error) {
     if (error) return;
-    for (const auto& [id, client] : self->clients_) client.connection->Watch();
-    self->WatchLater();
+    for (const auto& [id, client] : self->clients_) client.connection->CheckLiveness();
+    self->ScheduleLivenessCheck();
   });
 }
 
--- a/src/protocol/leader_tracker.cc
+++ b/src/protocol/leader_tracker.cc
@@ -11,13 +11,13 @@
 /// asked each 10 ms sent 28,500 messages a second to a group that had too little processor time to
 /// elect, and so kept it from it. Once there is a leader a follower names it, so that a router
 /// finds it within the longest interval.
-constexpr Duration kTurnIntervalShortest{10'000};
-constexpr Duration kTurnIntervalLongest{320'000};
+constexpr Duration kSwitchIntervalMinimum{10'000};
+constexpr Duration kSwitchIntervalMaximum{320'000};
 /// Unanswered messages are forgotten after this many silence limits.
-constexpr int kForgetAfterLimits = 10;
+constexpr int kExpiryTimeouts = 10;
 constexpr std::size_t kPendingMaximum = 256;
 /// Turns kept for whoever takes them for its log.
-constexpr std::size_t kTurnsKept = 16;
+constexpr std::size_t kSwitchesRetainedMaximum = 16;
 
 std::uint64_t SequenceOf(const control::RouterToControl& message) {
   return std::visit([](const auto& request) { return request.sequence; }, message);
@@ -48,12 +48,12 @@
 
 }  // namespace
 
-LeaderTracker::LeaderTracker(std::vector<std::string> addresses, Duration silence_limit)
+LeaderTracker::LeaderTracker(std::vector<std::string> addresses, Duration answer_timeout)
     : addresses_(std::move(addresses)),
       connected_(addresses_.size()),
-      silent_at_(addresses_.size()),
-      silence_limit_(silence_limit),
-      turn_interval_(kTurnIntervalShortest) {}
+      unresponsive_at_(addresses_.size()),
+      answer_timeout_(answer_timeout),
+      switch_interval_(kSwitchIntervalMinimum) {}
 
 std::vector<LeaderSend> LeaderTracker::OnSend(control::RouterToControl message, Instant now) {
   std::erase_if(pending_,
@@ -69,26 +69,26 @@
 std::vector<LeaderSend> LeaderTracker::OnConnected(const std::string& address, Instant now) {
   const std::size_t index = IndexOf(address);
   connected_[index] = true;
-  silent_at_[index].reset();
+  unresponsive_at_[index].reset();
   if (index == target_) {
     unanswered_since_.reset();
     return SendPending(now, Duration::zero());
   }
-  return connected_[target_] ? std::vector<LeaderSend>{} : TurnTo(index, "connected", now);
+  return connected_[target_] ? std::vector<LeaderSend>{} : SwitchTo(index, "connected", now);
 }
 
 std::vector<LeaderSend> LeaderTracker::OnDisconnected(const std::string& address, Instant now) {
   const std::size_t index = IndexOf(address);
   connected_[index] = false;
-  silent_at_[index] = now;
-  return index == target_ ? TurnTo(NextConnected(), "disconnected", now)
+  unresponsive_at_[index] = now;
+  return index == target_ ? SwitchTo(NextConnected(), "disconnected", now)
                           : std::vector<LeaderSend>{};
 }
 
 void LeaderTracker::OnAnswered(const std::string& address, const control::ControlToRouter& answer) {
   if (IndexOf(address) == target_) {
     unanswered_since_.reset();
-    turn_interval_ = kTurnIntervalShortest;
+    switch_interval_ = kSwitchIntervalMinimum;
   }
   std::erase_if(pending_, [&](const Pending& pending) { return Answers(answer, pending.message); });
 }
@@ -99,24 +99,24 @@
   const std::size_t index = IndexOf(address);
   if (index != target_) return {};  // Of an earlier target: already turned away.
   unanswered_since_.reset();
-  if (answer.leader_address.empty()) return TurnTo(NextConnected(), "not_leader", now);
+  if (answer.leader_address.empty()) return SwitchTo(NextConnected(), "not_leader", now);
   const std::size_t hinted = IndexOf(answer.leader_address);
   // A follower may still name a leader that this router just found silent.
-  if (RecentlySilent(hinted, now)) return TurnTo(NextConnected(), "not_leader", now);
-  return TurnTo(hinted, "not_leader", now);
+  if (RecentlyUnresponsive(hinted, now)) return SwitchTo(NextConnected(), "not_leader", now);
+  return SwitchTo(hinted, "not_leader", now);
 }
 
 std::vector<LeaderSend> LeaderTracker::Tick(Instant now) {
-  Forget(now);
-  if (wanted_target_ && now >= next_turn_) return TurnTo(*wanted_target_, wanted_why_, now);
+  DropExpired(now);
+  if (wanted_target_ && now >= next_switch_) return SwitchTo(*wanted_target_, wanted_why_, now);
   if (pending_.empty()) return {};
   // Not counted from the oldest message: newer ones take the places of those of their kind.
-  const bool silent = unanswered_since_ && now - *unanswered_since_ > silence_limit_;
+  const bool silent = unanswered_since_ && now - *unanswered_since_ > answer_timeout_;
   if (silent) {
-    silent_at_[target_] = now;
-    return TurnTo(NextConnected(), "silent", now);
+    unresponsive_at_[target_] = now;
+    return SwitchTo(NextConnected(), "silent", now);
   }
-  return SendPending(now, silence_limit_);
+  return SendPending(now, answer_timeout_);
 }
 
 std::size_t LeaderTracker::IndexOf(const std::string& address) {
@@ -125,13 +125,13 @@
   if (found == addresses_.end()) {
     addresses_.push_back(address);
     connected_.push_back(false);
-    silent_at_.emplace_back();
+    unresponsive_at_.emplace_back();
   }
   return index;
 }
 
-bool LeaderTracker::RecentlySilent(std::size_t index, Instant now) const {
-  return silent_at_[index] && now - *silent_at_[index] <= 2 * silence_limit_;
+bool LeaderTracker::RecentlyUnresponsive(std::size_t index, Instant now) const {
+  return unresponsive_at_[index] && now - *unresponsive_at_[index] <= 2 * answer_timeout_;
 }
 
 /// The next process after the target that is connected; the next one when none is.
@@ -143,17 +143,18 @@
   return (target_ + 1) % addresses_.size();
 }
 
-std::vector<LeaderSend> LeaderTracker::TurnTo(std::size_t target, std::string_view why,
-                                              Instant now) {
-  if (now < next_turn_) {
+std::vector<LeaderSend> LeaderTracker::SwitchTo(std::size_t target, std::string_view why,
+                                                Instant now) {
+  if (now < next_switch_) {
     wanted_target_ = target;
     wanted_why_ = why;
     return {};
   }
   wanted_target_.reset();
-  next_turn_ = now + turn_interval_;
-  turn_interval_ = std::min(2 * turn_interval_, kTurnIntervalLongest);
-  if (turns_.size() < kTurnsKept) turns_.push_back({addresses_[target_], addresses_[target], why});
+  next_switch_ = now + switch_interval_;
+  switch_interval_ = std::min(2 * switch_interval_, kSwitchIntervalMaximum);
+  if (switches_.size() < kSwitchesRetainedMaximum)
+    switches_.push_back({addresses_[target_], addresses_[target], why});
   target_ = target;
   unanswered_since_.reset();
   return SendPending(now, Duration::zero());
@@ -178,9 +179,9 @@
   return {addresses_[target_], pending.message};
 }
 
-void LeaderTracker::Forget(Instant now) {
+void LeaderTracker::DropExpired(Instant now) {
   std::erase_if(pending_, [&](const Pending& pending) {
-    return now - pending.first_sent > kForgetAfterLimits * silence_limit_;
+    return now - pending.first_sent > kExpiryTimeouts * answer_timeout_;
   });
   if (pending_.empty()) unanswered_since_.reset();
 }
--- a/src/protocol/leader_tracker.h
+++ b/src/protocol/leader_tracker.h
@@ -23,7 +23,7 @@
 };
 
 /// The tracker turned to another process.
-struct LeaderTurn {
+struct LeaderSwitch {
   std::string from;
   std::string to;
   std::string_view why;  ///< "connected", "disconnected", "silent", "not_leader".
@@ -32,8 +32,8 @@
 /// Not thread safe; `now` never goes back.
 class LeaderTracker {
  public:
-  /// @param silence_limit how long a message may stay unanswered before the next process is tried.
-  LeaderTracker(std::vector<std::string> addresses, Duration silence_limit);
+  /// @param answer_timeout how long a message may stay unanswered before the next process is tried.
+  LeaderTracker(std::vector<std::string> addresses, Duration answer_timeout);
 
   /// All addresses to keep a connection to; grows with hints.
   const std::vector<std::string>& addresses() const { return addresses_; }
@@ -53,7 +53,7 @@
   std::vector<LeaderSend> Tick(Instant now);
 
   /// The turns since the last call.
-  std::vector<LeaderTurn> TakeTurns() { return std::exchange(turns_, {}); }
+  std::vector<LeaderSwitch> TakeSwitches() { return std::exchange(switches_, {}); }
 
  private:
   struct Pending {
@@ -63,27 +63,28 @@
   };
 
   std::size_t IndexOf(const std::string& address);
-  bool RecentlySilent(std::size_t index, Instant now) const;
+  bool RecentlyUnresponsive(std::size_t index, Instant now) const;
   std::size_t NextConnected() const;
   /// Makes `target` the one to send to, now or at the next tick that allows a turn.
-  std::vector<LeaderSend> TurnTo(std::size_t target, std::string_view why, Instant now);
+  std::vector<LeaderSend> SwitchTo(std::size_t target, std::string_view why, Instant now);
   std::vector<LeaderSend> SendPending(Instant now, Duration unsent_for);
   LeaderSend SendOne(Pending& pending, Instant now);
-  void Forget(Instant now);
+  void DropExpired(Instant now);
 
   std::vector<std::string> addresses_;
   std::vector<bool> connected_;
-  std::vector<std::optional<Instant>> silent_at_;  ///< When each was last found silent, or lost.
-  Duration silence_limit_;
+  std::vector<std::optional<Instant>>
+      unresponsive_at_;  ///< When each was last found silent, or lost.
+  Duration answer_timeout_;
   std::size_t target_ = 0;
-  std::optional<std::size_t> wanted_target_;  ///< A turn that waits for `next_turn_`.
+  std::optional<std::size_t> wanted_target_;  ///< A turn that waits for `next_switch_`.
   std::string_view wanted_why_;
-  Instant next_turn_;       ///< Bounds how often targets change.
-  Duration turn_interval_;  ///< Grows until a leader answers.
+  Instant next_switch_;       ///< Bounds how often targets change.
+  Duration switch_interval_;  ///< Grows until a leader answers.
   /// Since when the target left everything unanswered, also for want of a connection.
   std::optional<Instant> unanswered_since_;
   std::deque<Pending> pending_;
-  std::vector<LeaderTurn> turns_;  ///< Since they were taken, the first ones.
+  std::vector<LeaderSwitch> switches_;  ///< Since they were taken, the first ones.
 };
 
 }  // namespace graniteseam::protocol
--- a/src/protocol/peer_transport.cc
+++ b/src/protocol/peer_transport.cc
@@ -14,7 +14,7 @@
 
 namespace asio = boost::asio;
 
-constexpr Duration kForgetPeerAfter = std::chrono::minutes(1);
+constexpr Duration kIdlePeerTimeout = std::chrono::minutes(1);
 
 }  // namespace
 
@@ -51,7 +51,7 @@
     if (peer != nullptr) peer->last_sent = runtime::BootTimeNow();
   }
 
-  void HangUp() {
+  void StopDialers() {
     for (const auto& [address, peer] : peers_) peer.dialer->Stop();
     peers_.clear();
   }
@@ -97,7 +97,7 @@
 
 void PeerTransport::Impl::ForgetSilent(Instant now) {
   for (auto peer = peers_.begin(); peer != peers_.end();) {
-    if (now - peer->second.last_sent <= kForgetPeerAfter) {
+    if (now - peer->second.last_sent <= kIdlePeerTimeout) {
       ++peer;
       continue;
     }
@@ -110,7 +110,7 @@
                              runtime::MetricsRegistry& metrics)
     : impl_(std::make_shared<Impl>(options, loop, metrics)) {}
 
-PeerTransport::~PeerTransport() { impl_->HangUp(); }
+PeerTransport::~PeerTransport() { impl_->StopDialers(); }
 
 Result<void> PeerTransport::Load() { return impl_->Load(); }
 
--- a/src/protocol/router_control_client.cc
+++ b/src/protocol/router_control_client.cc
@@ -32,20 +32,20 @@
 class RouterControlClient::Impl {
  public:
   Impl(RouterControlClientOptions options, runtime::MetricsRegistry& registry,
-       AnswerHandler on_answer, ConnectedHandler on_connected, TurnHandler on_turn,
+       AnswerHandler on_answer, ConnectedHandler on_connected, LeaderSwitchHandler on_leader_switch,
        FeedLostHandler on_feed_lost);
   ~Impl();
 
   void Send(control::RouterToControl message);
   void AddControl(std::vector<std::string> addresses);
-  void TakeStateFrom(const std::string& address);
-  void NoteVersion(std::uint64_t version) { version_ = version; }
+  void SubscribeToState(const std::string& address);
+  void SetStateVersion(std::uint64_t version) { version_ = version; }
 
  private:
   /// @param ends whether it is to bring no more, and not to begin.
-  void AskFeed(bool ends);
+  void SendFeedRequest(bool ends);
   void Dial(const std::string& address);
-  void DialNew();
+  void DialNewAddresses();
   void Deliver(const std::vector<LeaderSend>& sends);
   void OnConnected(const std::string& address);
   void OnDisconnected(const std::string& address);
@@ -57,7 +57,7 @@
   RouterControlClientOptions options_;
   AnswerHandler on_answer_;
   ConnectedHandler on_connected_;
-  TurnHandler on_turn_;
+  LeaderSwitchHandler on_leader_switch_;
   FeedLostHandler on_feed_lost_;
   ConnectionMetrics metrics_;
   InternalTls tls_;
@@ -72,20 +72,20 @@
 
 RouterControlClient::Impl::Impl(RouterControlClientOptions options,
                                 runtime::MetricsRegistry& registry, AnswerHandler on_answer,
-                                ConnectedHandler on_connected, TurnHandler on_turn,
+                                ConnectedHandler on_connected, LeaderSwitchHandler on_leader_switch,
                                 FeedLostHandler on_feed_lost)
     : options_(std::move(options)),
       on_answer_(std::move(on_answer)),
       on_connected_(std::move(on_connected)),
-      on_turn_(std::move(on_turn)),
+      on_leader_switch_(std::move(on_leader_switch)),
       on_feed_lost_(std::move(on_feed_lost)),
       metrics_(registry),
       tls_(options_.security),
-      tracker_(ToTexts(options_.control), options_.silence_limit) {
+      tracker_(ToTexts(options_.control), options_.answer_timeout) {
   const auto loaded = Attempt([&] { return tls_.Load(); });
   if (const Error* error = ErrorOf(loaded)) runtime::Logger("internal").Error(*error);
   asio::post(loop_.context(), [this] {
-    DialNew();
+    DialNewAddresses();
     ScheduleTick();
   });
 }
@@ -107,23 +107,23 @@
 void RouterControlClient::Impl::AddControl(std::vector<std::string> addresses) {
   asio::post(loop_.context(), [this, addresses = std::move(addresses)] {
     for (const std::string& address : addresses) tracker_.AddAddress(address);
-    DialNew();
+    DialNewAddresses();
   });
 }
 
-void RouterControlClient::Impl::TakeStateFrom(const std::string& address) {
+void RouterControlClient::Impl::SubscribeToState(const std::string& address) {
   asio::post(loop_.context(), [this, address] {
     if (feed_ == address) return;
     // Otherwise both would bring every change.
-    AskFeed(true);
+    SendFeedRequest(true);
     feed_ = address;
     tracker_.AddAddress(address);
-    DialNew();
-    AskFeed(false);
+    DialNewAddresses();
+    SendFeedRequest(false);
   });
 }
 
-void RouterControlClient::Impl::AskFeed(bool ends) {
+void RouterControlClient::Impl::SendFeedRequest(bool ends) {
   const auto found = dialers_.find(feed_);
   if (found == dialers_.end() || !found->second || !found->second->connected()) return;
   const control::FeedRequest request{options_.router, ++feed_requests_, version_, ends};
@@ -131,7 +131,7 @@
 }
 
 /// Dials the addresses that hints brought.
-void RouterControlClient::Impl::DialNew() {
+void RouterControlClient::Impl::DialNewAddresses() {
   for (const std::string& address : tracker_.addresses()) {
     if (!dialers_.contains(address)) Dial(address);
   }
@@ -164,16 +164,16 @@
       found->second->Send(codec::Encode(send.message));
     }
   }
-  for (const LeaderTurn& turn : tracker_.TakeTurns()) {
-    if (on_turn_) on_turn_(turn);
+  for (const LeaderSwitch& turn : tracker_.TakeSwitches()) {
+    if (on_leader_switch_) on_leader_switch_(turn);
   }
-  DialNew();
+  DialNewAddresses();
 }
 
 void RouterControlClient::Impl::OnConnected(const std::string& address) {
   if (++connected_ == 1 && on_connected_) on_connected_(true);
   Deliver(tracker_.OnConnected(address, runtime::BootTimeNow()));
-  if (address == feed_) AskFeed(false);
+  if (address == feed_) SendFeedRequest(false);
 }
 
 void RouterControlClient::Impl::OnDisconnected(const std::string& address) {
@@ -207,10 +207,11 @@
 
 RouterControlClient::RouterControlClient(RouterControlClientOptions options,
                                          runtime::MetricsRegistry& metrics, AnswerHandler on_answer,
-                                         ConnectedHandler on_connected, TurnHandler on_turn,
+                                         ConnectedHandler on_connected,
+                                         LeaderSwitchHandler on_leader_switch,
                                          FeedLostHandler on_feed_lost)
     : impl_(std::make_unique<Impl>(std::move(options), metrics, std::move(on_answer),
-                                   std::move(on_connected), std::move(on_turn),
+                                   std::move(on_connected), std::move(on_leader_switch),
                                    std::move(on_feed_lost))) {}
 
 RouterControlClient::~RouterControlClient() = default;
@@ -219,11 +220,13 @@
   impl_->AddControl(std::move(addresses));
 }
 
-void RouterControlClient::TakeStateFrom(const std::string& address) {
-  impl_->TakeStateFrom(address);
+void RouterControlClient::SubscribeToState(const std::string& address) {
+  impl_->SubscribeToState(address);
 }
 
-void RouterControlClient::NoteVersion(std::uint64_t version) { impl_->NoteVersion(version); }
+void RouterControlClient::SetStateVersion(std::uint64_t version) {
+  impl_->SetStateVersion(version);
+}
 
 void RouterControlClient::Send(control::RouterToControl message) {
   impl_->Send(std::move(message));
--- a/src/protocol/router_control_client.h
+++ b/src/protocol/router_control_client.h
@@ -25,7 +25,7 @@
   InternalSecurity security;
   /// A control process that leaves a message unanswered for longer is taken for silent, and the
   /// message goes to the next one. Shorter than half the router's lease.
-  Duration silence_limit{250'000};
+  Duration answer_timeout{250'000};
 };
 
 /// Sends what the router's decision maker wants sent and hands back the answers.
@@ -49,11 +49,11 @@
   using FeedLostHandler = std::function<void()>;
 
   /// Called for each turn to another control process.
-  using TurnHandler = std::function<void(const LeaderTurn& turn)>;
+  using LeaderSwitchHandler = std::function<void(const LeaderSwitch& turn)>;
 
   RouterControlClient(RouterControlClientOptions options, runtime::MetricsRegistry& metrics,
                       AnswerHandler on_answer, ConnectedHandler on_connected = {},
-                      TurnHandler on_turn = {}, FeedLostHandler on_feed_lost = {});
+                      LeaderSwitchHandler on_leader_switch = {}, FeedLostHandler on_feed_lost = {});
   ~RouterControlClient();
   RouterControlClient(const RouterControlClient&) = delete;
   RouterControlClient& operator=(const RouterControlClient&) = delete;
@@ -63,9 +63,9 @@
 
   /// Takes the state from this control process ("ip:port") from now on, and from no other: asks it
   /// anew each time that a connection to it stands. The same again changes nothing.
-  void TakeStateFrom(const std::string& address);
+  void SubscribeToState(const std::string& address);
   /// The version of the state that the router has, for the next time that it asks.
-  void NoteVersion(std::uint64_t version);
+  void SetStateVersion(std::uint64_t version);
 
   /// Adds control processes ("ip:port") to those that it knows.
   void AddControl(std::vector<std::string> addresses);
