--- a/tests/control_daemon/crowded_group.cc
+++ b/tests/control_daemon/crowded_group.cc
@@ -28,7 +28,7 @@
 constexpr Duration kLongestPause{500'000};
 constexpr int kRedirectsMaximum = 2;
 constexpr Duration kReleaseTime{50'000};
-constexpr Duration kLivenessCheckInterval{10'000};
+constexpr Duration kWatchInterval{10'000};
 /// What the platform's template of control's settings says.
 constexpr Duration kRenewalInterval{1'500'000};
 constexpr Duration kHeartbeatOfLeader{100'000};
@@ -313,7 +313,7 @@
     leader_seen_ = now_;
   }
   if (leader_) longest_without_leader_ = std::max(longest_without_leader_, now_ - leader_seen_);
-  At(now_ + kLivenessCheckInterval, [this] { WatchLeader(); });
+  At(now_ + kWatchInterval, [this] { WatchLeader(); });
 }
 
 // --- Routers ---
