--- a/include/graniteseam/routing/concurrency_window.h
+++ b/include/graniteseam/routing/concurrency_window.h
@@ -1,5 +1,5 @@
 /// @file
-/// How many requests a router keeps in flight at one server.
+/// Adaptive limit on the requests that a router keeps in flight at one server.
 #pragma once
 
 #include <cstdint>
@@ -8,26 +8,27 @@
 
 namespace graniteseam::routing {
 
-/// Finds a server's capacity by additive increase and multiplicative decrease (Chiu and Jain 1989):
-/// grows while full and answered, shrinks when the server sheds. It shrinks once per answer time,
-/// since the sheds of one moment tell the same thing. Near the size at which the server last shed
-/// it grows slowly: with many routers and few slots a server, each step of growth costs sheds. A
-/// server that sheds although almost nothing is in flight there is left alone for a while that
-/// doubles. Invariant: 1 <= size <= maximum. Not thread safe.
+/// Estimates a server's capacity by additive increase and multiplicative decrease (Chiu and Jain
+/// 1989): the window grows on answers while it is at least half full and shrinks when the server
+/// sheds. It shrinks at most once per smoothed answer latency, because sheds that arrive together
+/// report the same overload. Near the size at which the server last shed it grows slowly: with many
+/// routers and few slots per server, each step of growth causes sheds. Sending to a server that
+/// sheds while almost nothing is in flight is paused; the pause doubles with each further such
+/// shed. Invariant: 1 <= size <= maximum. Not thread safe.
 class ConcurrencyWindow {
  public:
   /// @param maximum at least 1; Service::concurrency_per_server.
   explicit ConcurrencyWindow(std::uint32_t maximum);
 
   void SetMaximum(std::uint32_t maximum);
-  /// Free places; none while the server is left alone.
+  /// Requests that may be sent now; 0 while sending is paused.
   std::uint32_t AvailableSlots(Instant now) const;
   void OnSent() { ++in_flight_; }
-  /// An answer came; the window grows when it was in use.
+  /// Records an answer; the window grows when at least half of it was in use.
   void OnAnswered(Duration latency, Instant now);
-  /// The server refused to protect itself.
+  /// Records that the server shed the request because of overload.
   void OnShed(Instant now);
-  /// Ended in any other way.
+  /// Records an attempt that ended in any other way; the size stays.
   void OnEnded();
 
   std::uint32_t in_flight() const { return in_flight_; }
@@ -44,7 +45,7 @@
   double shed_size_ = 0.0;  ///< The size at which the server last shed.
   std::uint32_t in_flight_ = 0;
   Instant shrunk_at_{};
-  Duration pause_{};  ///< The last pause; doubles until an answer comes.
+  Duration pause_{};  ///< The last pause; doubles until an answer arrives.
   Instant paused_until_{};
   Duration latency_{1'000};
 };
--- a/include/graniteseam/routing/messages.h
+++ b/include/graniteseam/routing/messages.h
@@ -1,6 +1,6 @@
 /// @file
-/// What a router's driver and its decision maker say to each other about one request: the request
-/// as it came in, the attempts to make, how each ended, and the final answer. See
+/// Messages between a router's I/O driver and its decision logic about one request: the request as
+/// received, the attempts to make, the end of each, and the final answer. See
 /// docs/design/routing.md and docs/design/retries.md.
 #pragma once
 
@@ -17,81 +17,83 @@
 
 namespace graniteseam::routing {
 
-/// Names one request of a caller at the driver; unique in one life of a router.
+/// Identifies one caller request at the driver; unique within one run of a router process.
 using RequestNumber = std::uint64_t;
-/// Names one attempt; unique in one life of a router.
+/// Identifies one attempt; unique within one run of a router process.
 using AttemptNumber = std::uint64_t;
 
-/// A caller's request as far as decisions need it; path and body stay with the driver.
+/// The parts of a caller's request that decisions depend on; the driver keeps path and body.
 struct CallerRequest {
   RequestNumber number = 0;
   ServiceName service;
   GroupName group;
   std::optional<std::string> key;        ///< Set for the path form of keyed services.
-  std::optional<Duration> deadline;      ///< What the caller asked for; absent for the default.
+  std::optional<Duration> deadline;      ///< Requested by the caller; absent for the default.
   std::optional<OperationId> operation;  ///< The Idempotency-Key.
-  std::string request_digest;            ///< Of method, path, query and body; for the journal.
+  std::string request_digest;  ///< Of method, path, query and body; for the operation journal.
   std::size_t body_bytes = 0;
 };
 
-/// Asks the driver to send the request to a server.
+/// Instructs the driver to send the request to a server.
 struct AttemptSend {
   RequestNumber request = 0;
   AttemptNumber attempt = 0;
-  std::string attempt_header;  ///< For Graniteseam-Attempt; differs between routers and starts.
+  std::string attempt_header;  ///< For Graniteseam-Attempt; unique across routers and restarts.
   ServerId server;
   std::string address;  ///< "ip:port".
   std::optional<std::uint32_t> shard;
   Epoch epoch;  ///< Of the shard.
   Instant sent_at{};
-  Instant give_up_at{};      ///< Report the attempt as broken at this instant.
-  bool keep_answer = false;  ///< Report the answer with the attempt's end, for the journal.
-  bool hedged = false;       ///< Another attempt of the request may run beside this one.
+  Instant give_up_at{};  ///< Report the attempt as broken at this instant.
+  bool keep_answer =
+      false;            ///< Report the answer with the attempt's end, to store it in the journal.
+  bool hedged = false;  ///< Another attempt of the request may run concurrently.
 };
 
-/// How an attempt ended, as the driver saw it.
+/// How an attempt ended, as observed by the driver.
 enum class AttemptEnd {
-  kAnswered,        ///< A whole answer that echoes the attempt id, without a not-run mark.
+  kAnswered,        ///< A complete answer that echoes the attempt id, without a not-run mark.
   kNotOwner,        ///< Marked not-run with status 421.
   kShed,            ///< Marked not-run with status 429.
   kNotReady,        ///< Marked not-run with status 503.
   kDeadlinePassed,  ///< Marked not-run with status 504.
   kNotSent,         ///< No byte of the request was handed to the kernel.
-  kBroken,          ///< Time-out, cut, truncation or a mismatch: it may have run.
-  kServerUnknown,   ///< The server itself can not tell whether it ran.
+  kBroken,  ///< Timeout, lost connection, truncated answer or attempt id mismatch: it may have run.
+  kServerUnknown,  ///< The server reports that it cannot determine whether it ran.
 };
 
-/// Whether an attempt that ended so provably did not run and never will.
+/// Whether an attempt with this end provably did not run and never will.
 constexpr bool ProvenNotRun(AttemptEnd end) {
   return end == AttemptEnd::kNotOwner || end == AttemptEnd::kShed || end == AttemptEnd::kNotReady ||
          end == AttemptEnd::kDeadlinePassed || end == AttemptEnd::kNotSent;
 }
 
+/// The end of one attempt, reported by the driver.
 struct AttemptResult {
   RequestNumber request = 0;
   AttemptNumber attempt = 0;
   AttemptEnd end = AttemptEnd::kBroken;
-  int status = 0;                             ///< Of the answer; 0 without one.
+  int status = 0;                             ///< HTTP status of the answer; 0 without one.
   std::optional<Duration> retry_after;        ///< From a server that sheds.
-  std::optional<control::KeptAnswer> answer;  ///< To keep; only for attempts with `keep_answer`.
+  std::optional<control::KeptAnswer> answer;  ///< To store; only for attempts with `keep_answer`.
 };
 
-/// What the caller is told about its request; the names are those of Graniteseam-Outcome.
-/// For an operation that may not be repeated, kNotRun says that no earlier sending ran either.
+/// The outcome reported to the caller; the names are those of Graniteseam-Outcome. For an operation
+/// that may not be repeated, kNotRun also states that no earlier send of it ran.
 enum class RequestOutcome { kAnswered, kKept, kNotRun, kOutcomeUnknown };
 
-/// Ends a request.
+/// The final answer to a request.
 struct RequestAnswer {
   RequestNumber request = 0;
   RequestOutcome outcome = RequestOutcome::kNotRun;
-  AttemptNumber attempt = 0;                ///< kAnswered: the attempt whose answer counts.
-  std::optional<control::KeptAnswer> kept;  ///< kKept.
-  int status = 0;                           ///< For answers that the router makes itself.
-  Error error;                              ///< The same.
+  AttemptNumber attempt = 0;                ///< kAnswered: the attempt whose answer is returned.
+  std::optional<control::KeptAnswer> kept;  ///< kKept: the stored answer.
+  int status = 0;                           ///< HTTP status, for answers that the router generates.
+  Error error;                              ///< For answers that the router generates.
   std::optional<Duration> retry_after;
 };
 
-/// What the driver must do, in any order.
+/// Actions for the driver, in any order.
 struct RouterEffects {
   std::vector<control::RouterToControl> control_messages;
   std::vector<AttemptSend> sends;
--- a/include/graniteseam/routing/outlier_detector.h
+++ b/include/graniteseam/routing/outlier_detector.h
@@ -1,5 +1,6 @@
 /// @file
-/// Keeps requests from servers that answer badly, whatever their health endpoint says.
+/// Passive health checks: stops sending requests to servers that fail or answer slowly, whatever
+/// their health endpoint reports.
 #pragma once
 
 #include <cstddef>
@@ -11,6 +12,7 @@
 
 namespace graniteseam::routing {
 
+/// Thresholds of outlier detection.
 struct OutlierOptions {
   std::uint32_t consecutive_failures = 5;
   double failure_rate = 0.5;  ///< Smoothed over the last attempts; ejects above it.
@@ -19,17 +21,17 @@
   Duration latency_floor{5'000};          ///< Differences below it are never outliers.
   double ejected_fraction_maximum = 0.3;  ///< Of the pool; one server may always be ejected when
                                           ///< there are two or more.
-  Duration ejection{1'000'000};           ///< Times the number of ejections in a row.
+  Duration ejection{1'000'000};           ///< Multiplied by the number of consecutive ejections.
   Duration ejection_maximum{30'000'000};
-  Duration ejection_reset_after{
-      60'000'000};  ///< Good for this long: the next ejection is short again.
+  Duration ejection_reset_after{60'000'000};  ///< Without an ejection for this long, the count of
+  ///< consecutive ejections starts again.
 };
 
 /// Ejects outliers from one pool (Envoy's outlier detection is the model).
 ///
-/// Invariant: never more than the cap is ejected at once, so that a fault that all servers share,
-/// for example an overload, can not empty the pool. A server comes back by the passing of time, and
-/// is then judged anew. Not thread safe.
+/// Invariant: at most `ejected_fraction_maximum` of the pool (or one server) is ejected at once, so
+/// that a fault shared by all servers, such as an overload, cannot empty the pool. An ejection ends
+/// after its time has passed; the server's statistics then start from zero. Not thread safe.
 class OutlierDetector {
  public:
   explicit OutlierDetector(OutlierOptions options = {}) : options_(options) {}
@@ -37,14 +39,16 @@
   void Add(const ServerId& server);
   void Remove(const ServerId& server);
 
-  /// @return whether this end ejected the server.
+  /// Records an answer and its latency.
+  /// @return whether this sample ejected the server.
   bool OnAnswered(const ServerId& server, Duration latency, Instant now);
-  /// Broken or unreachable, or a server error of its own making. Shedding is none.
-  /// @return whether this end ejected the server.
+  /// Records a broken attempt, an unreachable server or an HTTP 5xx answer. Shedding does not count
+  /// as a failure.
+  /// @return whether this sample ejected the server.
   bool OnFailed(const ServerId& server, Instant now);
 
   bool Ejected(const ServerId& server, Instant now) const;
-  /// When the server's last ejection ends or ended; the clock's origin when there was none.
+  /// The end of the server's latest ejection; the clock's origin when there was none.
   Instant EjectedUntil(const ServerId& server) const;
   std::size_t EjectedCount(Instant now) const;
 
--- a/include/graniteseam/routing/request_state.h
+++ b/include/graniteseam/routing/request_state.h
@@ -1,6 +1,6 @@
 /// @file
-/// What happens next to one request: the one place that decides between sending, waiting, trying
-/// again, and each of the answers. See docs/design/retries.md.
+/// State machine of one request: the single place that decides whether to send, wait, retry or
+/// answer. See docs/design/retries.md.
 #pragma once
 
 #include <cstdint>
@@ -13,46 +13,50 @@
 
 namespace graniteseam::routing {
 
-/// What a decision depends on besides events.
+/// Properties of the request and its service that decisions depend on.
 struct RequestTraits {
   bool repeatable = false;
   bool keyed = false;
   bool hedging = false;
 };
 
+/// Limits on retries and waits.
 struct RetryOptions {
   Duration back_off_first{2'000};
   Duration back_off_maximum{50'000};
-  Duration hold_maximum{2'000'000};  ///< For a shard without a usable owner.
-  double hold_fraction = 0.75;  ///< Of the time left; the rest is the caller's, to go elsewhere.
-  Duration time_left_minimum{1'000};  ///< With less left no attempt is begun.
-  Duration retry_after{200'000};      ///< Told with not_run where nothing better is known.
+  Duration hold_maximum{2'000'000};  ///< Longest wait for a usable shard owner.
+  double hold_fraction = 0.75;       ///< Of the time left; the caller keeps the rest to try another
+                                     ///< router.
+  Duration time_left_minimum{1'000};  ///< No attempt starts with less time left.
+  Duration retry_after{200'000};      ///< Retry-After for not_run when no server named one.
   std::uint32_t retries_maximum =
-      3;  ///< Under the budget; waiting for an owner is bounded by time.
+      3;  ///< In addition to the budget; waits for an owner are bounded by time instead.
 };
 
+/// The next action for a request.
 enum class Step {
-  kSendAgain,  ///< At once, to another server where there is one.
-  kBackOff,    ///< Send again at `at`.
-  kHold,       ///< Wait for the map to change, look again at `at`.
+  kSendAgain,  ///< Retry at once, on another server if there is one.
+  kBackOff,    ///< Retry at `at`.
+  kHold,       ///< Wait for a shard map change; check again at `at`.
   kWait,       ///< Another attempt is still in flight.
-  kAnswer,     ///< The server's answer is the request's.
-  kGiveUp,     ///< Answer as GiveUp() says.
+  kAnswer,     ///< Return the server's answer.
+  kGiveUp,     ///< Answer with the outcome of GiveUp().
 };
 
+/// A step with its time and reason.
 struct Decision {
   Step step = Step::kWait;
   Instant at{};
   ErrorKind reason = ErrorKind::kUnavailable;  ///< For kGiveUp.
-  std::optional<Duration> retry_after;         ///< What the server asked for.
+  std::optional<Duration> retry_after;         ///< Requested by the server.
 };
 
-/// Follows one request.
+/// Tracks the attempts of one request and decides its next step.
 ///
 /// Invariants: `not_run` is decided only while every attempt that ended provably did not run and
 /// none is in flight; a request that may not be repeated is never sent again after an attempt that
 /// may have run, and never has two attempts in flight; nothing is sent after the deadline.
-/// Not thread safe. Takes its randomness as an argument.
+/// Not thread safe. Deterministic: random values are passed in.
 class RequestState {
  public:
   RequestState(RequestTraits traits, RetryOptions options, Instant start, Instant deadline);
@@ -62,7 +66,7 @@
   std::uint32_t in_flight() const { return in_flight_; }
   std::uint32_t attempts() const { return attempts_; }
 
-  /// Whether an attempt may begin now.
+  /// Whether an attempt may start now.
   bool MaySend(Instant now) const;
   void OnSent();
 
@@ -70,22 +74,22 @@
   Decision OnAttemptEnd(const AttemptResult& result, RetryBudget& budget, double jitter,
                         Instant now);
 
-  /// An attempt is not awaited any more, since the shard has a new owner; it may have run.
+  /// Abandons an attempt because the shard has a new owner; the attempt may have run.
   /// @return whether the request may be sent again.
   bool OnSuperseded(Instant now);
 
-  /// Whether to send a second attempt beside the first now; takes it out of the budget.
+  /// Whether to send a second, concurrent attempt now; if so, takes one retry out of the budget.
   bool TryHedge(RetryBudget& budget, Instant now) const;
 
-  /// Asks to wait for a usable owner.
+  /// Decides how long to wait for a usable shard owner, or to give up.
   Decision Hold(double jitter, Instant now);
 
-  /// Until when something outside may be waited for; what is left then is the caller's, to go
-  /// elsewhere.
+  /// The latest time to wait for a shard owner or the journal. The caller keeps the time that
+  /// remains after it to try another router.
   Instant HoldDeadline(Instant now) const;
 
-  /// The outcome of giving up for `reason` now. Attempts in flight must be cancelled; they count as
-  /// may have run.
+  /// Ends the request and returns its outcome. The caller must cancel the attempts in flight; they
+  /// count as possibly run.
   RequestOutcome GiveUp();
 
  private:
--- a/include/graniteseam/routing/retry_budget.h
+++ b/include/graniteseam/routing/retry_budget.h
@@ -1,12 +1,13 @@
 /// @file
-/// Bounds retries to a fraction of first attempts, so that retries can not multiply an overload.
+/// Bounds retries to a fraction of first attempts, so that retries cannot amplify an overload.
 #pragma once
 
 namespace graniteseam::routing {
 
+/// Limits of a retry budget, in retries.
 struct RetryBudgetOptions {
-  double retries_per_request = 0.1;  ///< Earned by each first attempt.
-  double balance_maximum = 20.0;     ///< Retries that can be saved up for a burst.
+  double retries_per_request = 0.1;  ///< Credited for each first attempt.
+  double balance_maximum = 20.0;     ///< Longest burst of retries.
 };
 
 /// A token bucket filled by first attempts instead of by time (Finagle's RetryBudget; "The Site
@@ -18,7 +19,8 @@
       : options_(options), balance_(options.balance_maximum) {}
 
   void OnFirstAttempt();
-  /// Takes one retry out, if there is one.
+  /// Takes one retry out of the budget.
+  /// @return false when the balance is below one retry.
   bool TryTake();
   double balance() const { return balance_; }
 
--- a/include/graniteseam/routing/router_lease.h
+++ b/include/graniteseam/routing/router_lease.h
@@ -1,5 +1,5 @@
 /// @file
-/// The router's own lease: without it the router takes no traffic.
+/// The router's lease from the control group: a router without a valid lease refuses all requests.
 #pragma once
 
 #include <cstdint>
@@ -10,28 +10,29 @@
 
 namespace graniteseam::routing {
 
-/// Dates the router's lease.
+/// Tracks the expiry of the router's lease.
 ///
 /// Invariant: the lease ends no later than the granted length after the *send* of the renewal that
-/// was granted, so that a slow answer never makes it longer than its granter counts on. Answers
-/// that come twice, late or crossed therefore do no harm. Not thread safe.
+/// was granted, so that a slow answer never extends it past the expiry that the granter assumes.
+/// Duplicated, late or reordered answers are therefore harmless. Not thread safe.
 class RouterLease {
  public:
-  /// Notes a renewal as sent and returns its sequence.
+  /// Records that a renewal was sent.
+  /// @return its sequence number.
   std::uint64_t Send(BundleVersion shown, Instant now);
 
-  /// Takes a grant.
-  /// @return false when the sequence is not awaited.
+  /// Applies a grant of `length`, counted from the send of the renewal `sequence`.
+  /// @return false when no renewal with this sequence is pending.
   bool Grant(std::uint64_t sequence, Duration length);
 
-  /// Ends the lease at once, for a router that stops.
+  /// Ends the lease at once, for a router that is stopping.
   void GiveUp() { valid_until_ = Instant{}; }
 
   bool Valid(Instant now) const { return now < valid_until_; }
   Instant valid_until() const { return valid_until_; }
-  /// The length last granted; 0 before the first grant.
+  /// The length of the last grant; 0 before the first grant.
   Duration length() const { return length_; }
-  /// The bundle version that the last grant was given for.
+  /// The newest bundle version for which a lease was granted.
   BundleVersion granted_for() const { return granted_for_; }
 
  private:
--- a/include/graniteseam/routing/routing_table.h
+++ b/include/graniteseam/routing/routing_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// The router's copy of the shard map and of the servers known.
+/// The router's copy of the shard map and of the server list.
 #pragma once
 
 #include <cstdint>
@@ -15,36 +15,37 @@
 
 namespace graniteseam::routing {
 
-/// The shard that a key falls into: XXH3 of the key's bytes modulo the shard count.
+/// The shard that contains a key: XXH3 of the key's bytes modulo the shard count.
 /// @param shard_count greater than 0.
 std::uint32_t ShardOfKey(std::string_view key, std::uint32_t shard_count);
 
-/// One shard as the router believes it.
+/// One shard's state and owner in the router's copy of the map.
 struct Route {
   control::ShardState state = control::ShardState::kUnassigned;
   ServerId owner;
   Epoch epoch;
 };
 
-/// Holds the newest map that the router was sent.
+/// Holds the newest shard map received from control.
 ///
 /// Invariant: the version never goes down, and a change is applied only onto the version that it
-/// was made for; a shard's epoch never goes down within one whole table. A belief only: servers
-/// check epochs themselves. Not thread safe.
+/// was made for; a shard's epoch never goes down within one whole table. The copy may be stale:
+/// servers check epochs themselves. Not thread safe.
 class RoutingTable {
  public:
+  /// Result of Apply().
   enum class Applied {
     kYes,
-    kOld,  ///< Older than what is held; nothing changed.
-    kGap,  ///< Made for another base; ask with the held version again.
+    kOld,  ///< Not newer than the held version; nothing changed.
+    kGap,  ///< Made for another base version; request a change from the held version.
   };
 
-  /// Takes a change, or a whole table when its base is 0.
+  /// Applies a change, or replaces the whole table when the base version is 0.
   Applied Apply(const control::MapUpdate& update);
 
   std::uint64_t version() const { return version_; }
 
-  /// Returns the shard's route; unassigned when the map does not name it.
+  /// Returns the shard's route; unassigned when the map does not contain it.
   const Route& Find(const ServiceName& service, std::uint32_t shard) const;
   /// Returns the server, or nullptr.
   const control::ServerEntry* FindServer(const ServerId& server) const;
--- a/include/graniteseam/routing/server_selector.h
+++ b/include/graniteseam/routing/server_selector.h
@@ -1,5 +1,5 @@
 /// @file
-/// The servers of one service as a router sees them, and the choice among them.
+/// Load balancing among the servers of one service.
 #pragma once
 
 #include <cstddef>
@@ -19,65 +19,68 @@
 
 namespace graniteseam::routing {
 
+/// Settings of server selection.
 struct SelectorOptions {
   OutlierOptions outlier;
   SlowStart slow_start;
-  Duration hint_lifetime{3'000'000};      ///< A load hint counts less and less until this age.
-  Duration latency_half_life{4'000'000};  ///< Without answers a server's latency tends to the
-                                          ///< pool's, so that a slow one is tried again.
-  double hint_weight = 0.5;  ///< A fresh hint of 1.0 makes a server look this much busier.
+  Duration hint_lifetime{3'000'000};      ///< A load hint's weight falls linearly to 0 at this age.
+  Duration latency_half_life{4'000'000};  ///< Without answers, a server's latency estimate decays
+                                          ///< to the pool's, so that a slow server is retried.
+  double hint_weight = 0.5;  ///< A fresh hint of 1.0 raises the score by this fraction.
 };
 
-/// Chooses the best of a few servers drawn at random (the power of two choices, Mitzenmacher 2001,
-/// here of four) by what the router itself saw: its requests in flight there times the smoothed
-/// answer time. Hints only break near ties, and age
-/// out. Outliers are left out, new servers start slowly, and each server has a concurrency window.
-/// Not thread safe; deterministic under its seed.
+/// Chooses the best of four servers drawn at random (the power of two choices, Mitzenmacher 2001)
+/// by the router's own measurements: its requests in flight at the server times the smoothed answer
+/// latency. Load hints only break near ties and expire. Outliers are excluded, new servers get a
+/// slow start, and each server has a concurrency window. Not thread safe; deterministic for a
+/// given seed.
 class ServerSelector {
  public:
   ServerSelector(SelectorOptions options, std::uint64_t seed);
 
-  /// Takes the servers that the map names for the service. One that is gone keeps its record until
-  /// its last request ended.
+  /// Sets the service's servers to those in the map. The record of a removed server is kept until
+  /// its last request has ended.
   void Update(const std::vector<const control::ServerEntry*>& servers, std::uint32_t window_maximum,
               Instant now);
 
-  /// Chooses a server with room for a pooled request.
-  /// @param avoided servers to leave out while there is another.
+  /// Chooses a server with a free slot for a pooled request.
+  /// @param avoided servers to use only when no other is eligible.
   std::optional<ServerId> Choose(const std::vector<ServerId>& avoided, Instant now);
 
-  /// Free places of all servers that may be chosen.
+  /// Free slots of all eligible servers together.
   std::size_t PoolAvailableSlots(Instant now) const;
-  /// Free places at one server; 0 when it is unknown.
+  /// Free slots of one server; 0 when it is unknown.
   std::size_t AvailableSlotsAt(const ServerId& server, Instant now) const;
-  /// A number for the server that stays the same while it is known; never 0.
+  /// The server's admission lane, stable while the server has a record; 0 when it is unknown.
   std::uint32_t LaneOf(const ServerId& server) const;
-  /// The server with this number, or nullptr.
+  /// The server of this lane, or nullptr.
   const ServerId* ServerOfLane(std::uint32_t lane) const;
   /// Whether new work may go to the server.
   bool AcceptsNewWork(const ServerId& server) const;
   bool HasServer(const ServerId& server) const { return servers_.contains(server); }
   const std::string& AddressOf(const ServerId& server) const;
 
-  /// Whether a server has been without new work for so long that its promise is due. A keyed server
-  /// keeps its shards until they have moved, which takes long where no control process leads; by
-  /// then their requests have to wait for the next owner.
+  /// Whether a server has been draining for so long that it must get no new request. A keyed server
+  /// keeps its shards until they have moved, which takes long while the control group has no
+  /// leader; their requests then wait for the next owner.
   bool DrainedForLong(const ServerId& server, Instant now) const;
 
-  /// Tells that control was heard: what is known of the servers is as of now. What the next update
-  /// says may have become true any time from here on.
+  /// Records that the server list was confirmed by control at `now`. A change in the next update
+  /// may have occurred at any time since.
   void Confirm(Instant now) { confirmed_at_ = now; }
 
-  /// Takes a place at a server, before the request is sent.
+  /// Takes a slot at a server, before the request is sent.
   void Reserve(const ServerId& server);
-  /// Gives a place back whose request was never sent, or is not awaited any more.
+  /// Releases the slot of a request that was never sent or was abandoned.
   void Unreserve(const ServerId& server);
-  /// Gives a place back and learns from how the attempt ended.
+  /// Releases the attempt's slot and updates the server's statistics.
   void OnEnd(const ServerId& server, AttemptEnd end, int status, Duration latency, Instant now);
 
-  /// The concurrent requests that the servers took, as their windows found out.
+  /// Estimated capacity in concurrent requests: the sum of the window sizes of the servers that
+  /// accept new work.
   double Capacity() const;
-  /// A time after which most answers have come: mean plus four mean deviations (RFC 6298's rule).
+  /// Latency that few answers exceed: mean plus four mean deviations, as in RFC 6298; nullopt while
+  /// there are too few samples.
   std::optional<Duration> SlowAnswerThreshold() const;
   std::size_t EjectedCount(Instant now) const { return outliers_.EjectedCount(now); }
   std::size_t size() const { return order_.size(); }
@@ -98,7 +101,7 @@
     double hint = 0.0;
     Instant hint_at{};
     Instant since{};
-    Instant drained_since{};  ///< At the earliest; while it takes no new work.
+    Instant drained_since{};  ///< Earliest possible start of the drain.
   };
 
   Server* Find(const ServerId& server) const;
@@ -107,7 +110,7 @@
   bool IsEligible(const Server& server, Instant now) const;
   double Score(const Server& server, Instant now) const;
   Server* ChooseAmongAll(const std::vector<ServerId>& avoided, Instant now) const;
-  /// The part of a server's latency that is not forgotten yet.
+  /// Weight in [0, 1] of the server's own latency estimate against the pool's; decays with its age.
   double LatencyWeight(const Server& server, Instant now) const;
   double LatencyNow(const Server& server, Instant now) const;
   void UpdateLatency(Server& server, Duration latency, Instant now);
@@ -115,7 +118,7 @@
   SelectorOptions options_;
   OutlierDetector outliers_;
   std::unordered_map<ServerId, std::unique_ptr<Server>> servers_;
-  std::vector<Server*> order_;  ///< The listed ones, in the map's order.
+  std::vector<Server*> order_;  ///< Listed servers, in the map's order.
   std::unordered_map<std::uint32_t, Server*> lanes_;
   std::uint32_t last_lane_ = 0;
   std::uint64_t random_;
--- a/include/graniteseam/routing/slow_start.h
+++ b/include/graniteseam/routing/slow_start.h
@@ -1,13 +1,13 @@
 /// @file
-/// A new server's share of new work grows from little to full.
+/// Slow start: ramps up a new server's share of requests.
 #pragma once
 
 #include "graniteseam/common/time.h"
 
 namespace graniteseam::routing {
 
-/// Weight of a server that began to take work at `since`: grows linearly from `floor` to 1.
-/// Stateless, so that it needs no timer.
+/// Weight of a server that accepts work since `since`: grows over `length` linearly from `floor`
+/// to 1. Stateless, so that it needs no timer.
 struct SlowStart {
   Duration length{5'000'000};
   double floor = 0.1;
--- a/src/routing/concurrency_window.cc
+++ b/src/routing/concurrency_window.cc
@@ -9,13 +9,13 @@
 constexpr double kInitialSize = 4.0;
 constexpr double kDecrease = 0.8;
 constexpr int kLatencySmoothing = 8;
-/// From this part of the size at which the server last shed, growth is slow...
+/// Growth is slow from this fraction of the size at which the server last shed.
 constexpr double kNearShedSize = 0.75;
-/// ...by this factor...
+/// Factor of slow growth.
 constexpr double kSlowGrowth = 1.0 / 16.0;
-/// ...unless the last shed is this long ago.
+/// Time since the last shed after which growth is no longer slow.
 constexpr Duration kSlowGrowthPeriod{2'000'000};
-/// With no more than this many in flight, a shed means that the server wants no work at all.
+/// A shed with at most this many requests in flight means that the server accepts no work at all.
 constexpr std::uint32_t kAlmostIdle = 1;
 constexpr Duration kPauseFirst{20'000};
 constexpr Duration kPauseMaximum{500'000};
@@ -37,7 +37,7 @@
 }
 
 void ConcurrencyWindow::OnAnswered(Duration latency, Instant now) {
-  // A window that is not in use says nothing about the server's capacity.
+  // Answers while the window is mostly unused give no evidence of the server's capacity.
   const bool in_use = static_cast<double>(in_flight_) >= size_ * 0.5;
   if (in_use) size_ = std::min(maximum_, size_ + Growth(now));
   pause_ = Duration{0};
--- a/src/routing/journal_batcher.cc
+++ b/src/routing/journal_batcher.cc
@@ -80,7 +80,7 @@
   const auto batch = in_flight_.find(answer.sequence);
   if (batch == in_flight_.end()) return waited_for;
   for (const control::ClaimResult& result : answer.results) TakeResult(result, waited_for);
-  // A claim that the answer does not name may be held by anyone: nothing is sent under it.
+  // A claim missing from the answer may be held by another router: nothing is sent under it.
   for (const control::ClaimRequest& claim : batch->second.request.claims) {
     TakeResult({claim.operation, claim.claim, control::ClaimVerdict::kInProgress, std::nullopt},
                waited_for);
--- a/src/routing/journal_batcher.h
+++ b/src/routing/journal_batcher.h
@@ -1,6 +1,6 @@
 /// @file
-/// The router's side of the operation journal: batches claims and completions, sends them again
-/// until they are answered, and forgets nothing in between. See docs/design/operation-journal.md.
+/// The router's client of the operation journal: batches claims and completions and resends each
+/// batch until it is answered. See docs/design/operation-journal.md.
 #pragma once
 
 #include <cstdint>
@@ -16,30 +16,30 @@
 
 namespace graniteseam::routing {
 
-/// Collects journal work into batches.
+/// Collects claims and completions into batches.
 ///
-/// A batch goes out as soon as fewer than kInFlightMaximum are unanswered, so that under load
-/// claims gather while others are committed. A claim may be committed long after its request was
-/// given up: an abandoned claim that turns out to be granted is completed as not run, after its
-/// result, so that the two can not overtake each other. Not thread safe.
+/// A batch is sent as soon as fewer than kInFlightMaximum are unanswered, so that under load claims
+/// accumulate while others are committed. A claim may be committed long after its request was
+/// abandoned: an abandoned claim that is granted is completed as not run, after its result has
+/// arrived, so that claim and completion cannot be reordered. Not thread safe.
 class JournalBatcher {
  public:
   explicit JournalBatcher(RouterId router) : router_(std::move(router)) {}
 
   void AddClaim(control::ClaimRequest claim);
-  /// Nobody waits for this claim any more; nothing was or will be sent under it.
+  /// Abandons a claim; no attempt was or will be sent under it.
   void AbandonClaim(std::uint64_t claim);
   void AddCompletion(control::Completion completion);
 
-  /// The batches to send now: new ones, and those unanswered for too long.
+  /// Returns the batches to send now: new ones, and those unanswered for kResendAfter.
   std::vector<control::JournalRequest> Due(Instant now);
-  /// When Due() must be asked again, if no event comes before.
+  /// The time of the next Due() call if no event occurs earlier.
   std::optional<Instant> NextDue() const;
-  /// Sends all unanswered batches again, for a new connection or leader.
+  /// Marks all unanswered batches to be sent again, after a new connection or leader.
   void Resend();
 
-  /// Takes an answer.
-  /// @return the results of claims that are still waited for.
+  /// Processes an answer.
+  /// @return the results of claims that were not abandoned.
   std::vector<control::ClaimResult> OnAnswer(const control::JournalAnswer& answer);
 
   std::size_t claims_waiting() const { return claims_.size(); }
@@ -48,8 +48,8 @@
  private:
   static constexpr std::size_t kInFlightMaximum = 4;
   static constexpr std::size_t kBatchMaximum = 256;
-  /// Beyond it the oldest is dropped: its operation then stays claimed, and a resend is told
-  /// outcome_unknown, which is true.
+  /// Beyond this the oldest is dropped: its operation then stays claimed, and a resend correctly
+  /// gets outcome_unknown.
   static constexpr std::size_t kCompletionsMaximum = 10'000;
   static constexpr Duration kResendAfter{200'000};
 
--- a/src/routing/live_request.h
+++ b/src/routing/live_request.h
@@ -1,5 +1,5 @@
 /// @file
-/// What RequestFlow remembers of one live request.
+/// Per-request state of RequestFlow.
 #pragma once
 
 #include <memory>
@@ -18,13 +18,14 @@
   Instant sent_at{};
 };
 
+/// One request that has not been answered yet.
 struct RequestFlow::Live {
   enum class Phase {
     kNew,
     kQueued,    ///< In the limiter's queue.
-    kHeld,      ///< Waits for a usable owner or for a back-off to end; holds no place.
-    kClaiming,  ///< Waits for the journal; holds a place and a reservation.
-    kSending,   ///< Has attempts in flight; holds a place.
+    kHeld,      ///< Waits for a usable owner or the end of a back-off; holds no slot.
+    kClaiming,  ///< Waits for the journal; holds a slot and a reservation.
+    kSending,   ///< Has attempts in flight; holds a slot.
   };
 
   Live(const CallerRequest& request, std::shared_ptr<ServiceRouter> service_router,
@@ -38,14 +39,14 @@
   RequestState state;
   Phase phase = Phase::kNew;
   std::uint32_t shard = 0;
-  admission::Lane lane = 0;          ///< Where it is queued.
-  bool has_place = false;            ///< In the group's limit.
-  std::optional<ServerId> reserved;  ///< Server at which a place is kept for the next attempt.
+  admission::Lane lane = 0;          ///< In which it is queued.
+  bool has_place = false;            ///< Whether it holds a slot of the group's limit.
+  std::optional<ServerId> reserved;  ///< Server with a reserved slot for the next attempt.
   std::optional<std::uint64_t> claim;
   bool claimed = false;
   std::vector<Flight> flights;
   std::vector<ServerId> avoided;  ///< Servers that failed this request.
-  Epoch failed_epoch;             ///< At which the shard's owner could not serve it.
+  Epoch failed_epoch;             ///< Epoch at which the shard's owner could not serve it.
   std::optional<Instant> timer;
 };
 
--- a/src/routing/outlier_detector.cc
+++ b/src/routing/outlier_detector.cc
@@ -27,7 +27,7 @@
                           : record.latency_us + kLatencySmoothing * (sample - record.latency_us);
   Sample(record, false);
   if (record.samples < options_.samples_minimum) return false;
-  // Looked at once in a while: the median of a large pool is not free.
+  // Checked only every `samples_minimum` samples: the median of a large pool is costly.
   if (record.samples % options_.samples_minimum != 0) return false;
   const double median = MedianLatency();
   const bool slow =
@@ -77,7 +77,7 @@
   record.ejections_in_a_row = forgiven ? 1 : record.ejections_in_a_row + 1;
   record.ejected_until =
       now + std::min(options_.ejection_maximum, options_.ejection * record.ejections_in_a_row);
-  // It is judged anew when it comes back.
+  // Statistics start from zero after the ejection.
   record.failures_in_a_row = 0;
   record.samples = 0;
   record.failure_rate = 0.0;
--- a/src/routing/problem.cc
+++ b/src/routing/problem.cc
@@ -40,7 +40,7 @@
   }
   switch (reason) {
     case ErrorKind::kOverloaded:
-      return {reason, "The service has no place for this group's request now.", kLater};
+      return {reason, "The service has no free capacity for this group's request.", kLater};
     case ErrorKind::kDeadlineExceeded:
       return {reason, "The deadline left no time to run the request.",
               "Send it again with a longer Graniteseam-Deadline-Ms."};
@@ -51,7 +51,7 @@
 
 Error NoLease() {
   return {ErrorKind::kUnavailable,
-          "This router holds no lease: it can not show control the newest bundle.",
+          "This router holds no valid lease: it could not confirm the newest bundle with control.",
           "Send the request to another router, or again after the time in Retry-After."};
 }
 
@@ -61,7 +61,8 @@
 }
 
 Error TooManyRequests() {
-  return {ErrorKind::kOverloaded, "This router has too many requests at once.", kLater};
+  return {ErrorKind::kOverloaded, "This router has reached its limit of concurrent requests.",
+          kLater};
 }
 
 Error UnknownService(const ServiceName& service) {
@@ -103,7 +104,7 @@
 }
 
 Error JournalNotConsulted(Error reason) {
-  reason.message += " Whether an earlier sending of this operation ran was not looked up.";
+  reason.message += " The journal was not asked whether an earlier send of this operation ran.";
   reason.remedy = "Send it again with the same Idempotency-Key after the time in Retry-After.";
   return reason;
 }
@@ -126,13 +127,14 @@
           "too far in the future.",
           "Make a new Idempotency-Key with the present time, unless the operation may have run."};
     case control::ClaimVerdict::kFull:
-      return {ErrorKind::kOverloaded, "The operation journal has no room now.", kLater};
+      return {ErrorKind::kOverloaded, "The operation journal is full.", kLater};
     case control::ClaimVerdict::kInProgress:
-      return {ErrorKind::kOutcomeUnknown, "The operation was begun before and has not ended.",
+      return {ErrorKind::kOutcomeUnknown,
+              "The operation was started by an earlier request and has not ended.",
               "Send it again later with the same Idempotency-Key; it will not run twice."};
     default:
       return {ErrorKind::kOutcomeUnknown,
-              "The operation was begun before; its answer is not known any more.",
+              "The operation was started by an earlier request; its answer is no longer available.",
               "Ask for its effect; it will not run again under this Idempotency-Key."};
   }
 }
--- a/src/routing/problem.h
+++ b/src/routing/problem.h
@@ -1,6 +1,6 @@
 /// @file
-/// What a router tells callers about requests that it did not bring to an answer: statuses and
-/// errors as docs/interface/callers.md has them.
+/// HTTP statuses and errors for requests that no server answered, as documented in
+/// docs/interface/callers.md.
 #pragma once
 
 #include "graniteseam/common/error.h"
@@ -9,10 +9,10 @@
 
 namespace graniteseam::routing {
 
-/// The HTTP status for an answer that the router makes itself.
+/// The HTTP status of an answer that the router generates.
 int StatusOf(ErrorKind kind, RequestOutcome outcome);
 
-/// The error for giving a request up.
+/// The error for a request that the router gave up for `reason`.
 Error GivenUp(ErrorKind reason, RequestOutcome outcome);
 
 Error NoLease();
@@ -24,10 +24,10 @@
 Error WrongPathForm(const ServiceName& service, bool keyed);
 Error OperationIdMissing(const ServiceName& service);
 Error BodyTooLarge(std::int64_t bytes_maximum);
-/// For an operation that is refused before the journal said whether an earlier sending of it ran:
-/// `reason`'s kind and words, and what is known about the outcome.
+/// For an operation refused before the journal reported whether an earlier send of it ran:
+/// `reason`'s kind and text, extended by the unknown outcome.
 Error JournalNotConsulted(Error reason);
-/// The journal did not answer a claim in time; nothing was sent.
+/// The journal did not answer a claim in time; no attempt was sent.
 Error JournalTimedOut();
 /// For a claim's verdict other than kClaimed and kAnswered with an answer.
 Error ClaimRefused(control::ClaimVerdict verdict);
--- a/src/routing/random.h
+++ b/src/routing/random.h
@@ -1,5 +1,5 @@
 /// @file
-/// The pseudo-random numbers of the router's decision makers: reproducible under a seed.
+/// Pseudo-random numbers for routing decisions, reproducible for a given seed.
 #pragma once
 
 #include <cstdint>
--- a/src/routing/request_ending.cc
+++ b/src/routing/request_ending.cc
@@ -1,4 +1,4 @@
-// The part of RequestFlow that ends requests and hands on the places they held.
+// RequestFlow: ends requests and dispatches queued ones to the slots that become free.
 #include <algorithm>
 #include <utility>
 
@@ -39,8 +39,8 @@
 
 RequestOutcome RequestFlow::OutcomeOfGivingUp(Live& live) const {
   const RequestOutcome outcome = live.state.GiveUp();
-  // An earlier sending of the same operation may have run, perhaps through another router. Only a
-  // claim that the journal gave to this request proves that none did.
+  // An earlier send of the same operation may have run, perhaps through another router. Only a
+  // claim that the journal granted to this request proves that none did.
   const bool journal_asked = live.service->service().repeatable || live.claimed;
   if (outcome == RequestOutcome::kNotRun && !journal_asked) return RequestOutcome::kOutcomeUnknown;
   return outcome;
@@ -56,7 +56,7 @@
 void RequestFlow::Complete(const Live& live, const RequestAnswer& answer) {
   if (!live.claim) return;
   if (!live.claimed) {
-    // Nothing was sent under the claim, and nothing will be.
+    // No attempt was sent under the claim, and none will be.
     journal_.AbandonClaim(*live.claim);
     claims_.erase(*live.claim);
     return;
@@ -127,7 +127,7 @@
 void RequestFlow::Dispatch(Instant now, RouterEffects& effects) {
   if (dispatching_) return;
   dispatching_ = true;
-  // A request that is admitted may end at once and free its place for the next one.
+  // An admitted request may end at once and free its slot for the next one.
   while (!to_dispatch_.empty()) {
     const std::shared_ptr<ServiceRouter> service = std::move(to_dispatch_.front());
     to_dispatch_.pop_front();
@@ -138,7 +138,7 @@
         OnAdmitted(*live_.at(number), now, effects);
       }
     }
-    // Ejections and pauses of servers end by time, without an event.
+    // Ejections and pauses of servers expire without an event.
     const bool waiting = service->limiter().QueuedTotal() > 0;
     if (waiting && !dispatch_at_) dispatch_at_ = now + kDispatchInterval;
   }
--- a/src/routing/request_flow.cc
+++ b/src/routing/request_flow.cc
@@ -41,12 +41,12 @@
 
 void RequestFlow::OnAttemptEnd(const AttemptResult& result, Instant now, RouterEffects& effects) {
   const auto found = live_.find(result.request);
-  if (found == live_.end()) return;  // Ended meanwhile; a late answer is nobody's.
+  if (found == live_.end()) return;  // Already answered: ignore the late end.
   Live& live = *found->second;
   const auto flight =
       std::find_if(live.flights.begin(), live.flights.end(),
                    [&](const Flight& candidate) { return candidate.number == result.attempt; });
-  if (flight == live.flights.end()) return;  // Cancelled meanwhile.
+  if (flight == live.flights.end()) return;  // Already cancelled.
   const Flight ended = *flight;
   live.flights.erase(flight);
   ServiceRouter& service = *live.service;
@@ -86,7 +86,7 @@
       return;
     case Step::kBackOff:
     case Step::kHold:
-      // Others may use the place meanwhile.
+      // Other requests may use the slot during the wait.
       ReleasePlace(live, now);
       SetHeld(live, true);
       Wait(live, decision.at);
@@ -123,7 +123,7 @@
         if (usable && newer && live->service->service().repeatable) affected.push_back(number);
         break;
       case Live::Phase::kNew:
-      case Live::Phase::kClaiming:  // Looks at the route again before it sends.
+      case Live::Phase::kClaiming:  // Checks the route again before sending.
         break;
     }
   }
@@ -143,7 +143,7 @@
 }
 
 void RequestFlow::Supersede(Live& live, Instant now, RouterEffects& effects) {
-  // The old owner's lease is over or it released the shard: its answer may never come.
+  // The old owner's lease has expired or it released the shard: its answer may never arrive.
   bool may_send = true;
   for (const Flight& flight : live.flights) {
     effects.cancels.push_back(flight.number);
--- a/src/routing/request_flow.h
+++ b/src/routing/request_flow.h
@@ -1,5 +1,5 @@
 /// @file
-/// Takes each live request from its admission to its answer.
+/// Processing of all unanswered requests, from admission to answer.
 #pragma once
 
 #include <cstdint>
@@ -21,18 +21,18 @@
 
 namespace graniteseam::routing {
 
-/// What must still hold when a request that waited is sent: lease and bundle may have changed.
+/// Check repeated before each send, because lease and bundle may change while a request waits.
 class SendGuard {
  public:
   virtual ~SendGuard() = default;
-  /// Returns why the request may not be sent, or nothing.
+  /// Returns the reason why the request may not be sent, or nullopt.
   virtual std::optional<Error> Refusal(const CallerRequest& request, Instant now) const = 0;
 };
 
-/// All live requests of one router.
+/// All unanswered requests of one router.
 ///
-/// A request holds at most one place in its group's limit and one place at a server for each
-/// attempt or reservation; both are given back exactly once, whichever way it ends. Not thread
+/// A request holds at most one slot of its group's limit and one slot at a server for each attempt
+/// or reservation; each is released exactly once, however the request ends. Not thread
 /// safe.
 class RequestFlow {
  public:
@@ -45,9 +45,9 @@
   void OnAttemptEnd(const AttemptResult& result, Instant now, RouterEffects& effects);
   void OnCallerGone(RequestNumber number, Instant now, RouterEffects& effects);
   void OnClaimResult(const control::ClaimResult& result, Instant now, RouterEffects& effects);
-  /// The map or the servers changed.
+  /// Handles a change of the shard map or the servers.
   void OnTableChanged(Instant now, RouterEffects& effects);
-  /// Limits of groups changed.
+  /// Dispatches queued requests of all services, after a change of group limits.
   void DispatchAll(Instant now, RouterEffects& effects);
   void Tick(Instant now, RouterEffects& effects);
   std::optional<Instant> NextTick() const;
@@ -104,13 +104,13 @@
   std::uint64_t random_;
   std::string attempt_prefix_;
   std::unordered_map<RequestNumber, std::unique_ptr<Live>> live_;
-  std::unordered_map<std::uint64_t, RequestNumber> claims_;  ///< Claims waited for.
+  std::unordered_map<std::uint64_t, RequestNumber> claims_;  ///< Claims without a result yet.
   std::set<std::pair<Instant, RequestNumber>> timers_;
-  /// Services in which a place became free during this event, each once, in the order in which that
-  /// happened: an order by address would differ between runs.
+  /// Services in which a slot became free during this event, each once, in order of occurrence: an
+  /// order by pointer would differ between runs.
   std::deque<std::shared_ptr<ServiceRouter>> to_dispatch_;
   bool dispatching_ = false;
-  /// While requests are queued: when to look for room that came by the passing of time.
+  /// While requests are queued: the next check for slots freed by expired ejections and pauses.
   std::optional<Instant> dispatch_at_;
   std::size_t held_ = 0;
   AttemptNumber attempts_ = 0;
--- a/src/routing/request_sending.cc
+++ b/src/routing/request_sending.cc
@@ -1,4 +1,4 @@
-// The part of RequestFlow that finds a request its place, its claim and its server.
+// RequestFlow: admits requests, claims operations, chooses servers and sends attempts.
 #include <algorithm>
 
 #include "graniteseam/common/seeded_defects.h"
@@ -112,8 +112,8 @@
 }
 
 void RequestFlow::SendReserved(Live& live, Instant now, RouterEffects& effects) {
-  // Time has passed since the request came in: lease and bundle are asked again before each send,
-  // so that no request goes out under rules that are not in force any more.
+  // Lease and bundle are checked again before each send: they may have changed since the request
+  // arrived, and a request must not be sent under rules that are no longer in force.
   if (const std::optional<Error> refusal = guard_.Refusal(live.caller, now)) {
     GiveUp(live, *refusal, options_.retry_after, now, effects);
     return;
--- a/src/routing/request_state.cc
+++ b/src/routing/request_state.cc
@@ -40,8 +40,8 @@
 
 Decision RequestState::Retry(const AttemptResult& result, RetryBudget& budget, double jitter,
                              Instant now) {
-  // Only the owner can serve a key. Until the map or the owner changes its mind, trying is bounded
-  // by backing off, and the whole wait by the hold.
+  // Only the owner can serve a key. Until the map or the owner's state changes, back-off bounds the
+  // rate of retries and the hold bounds the total wait.
   if (traits_.keyed &&
       (result.end == AttemptEnd::kNotOwner || result.end == AttemptEnd::kNotReady ||
        result.end == AttemptEnd::kNotSent)) {
@@ -94,7 +94,8 @@
   const Duration longest =
       std::min(options_.back_off_maximum,
                options_.back_off_first * (1U << std::min(waits_++, kDoublingsMaximum)));
-  // Between half and the whole, so that requests which failed together do not come back together.
+  // Jitter between half and the full delay, so that requests that failed together do not retry
+  // together.
   return longest / 2 + Duration(std::llround(jitter * static_cast<double>(longest.count()) / 2.0));
 }
 
--- a/src/routing/router_lease.cc
+++ b/src/routing/router_lease.cc
@@ -16,7 +16,7 @@
   valid_until_ = std::max(valid_until_, found->second.at + length);
   granted_for_ = std::max(granted_for_, found->second.shown);
   length_ = length;
-  // Renewals sent before this one can not extend the lease any more.
+  // Renewals sent before this one can no longer extend the lease.
   awaited_.erase(awaited_.begin(), std::next(found));
   return true;
 }
--- a/src/routing/router_node.cc
+++ b/src/routing/router_node.cc
@@ -114,7 +114,7 @@
                               RouterEffects& effects) const {
   RequestAnswer answer;
   answer.request = request.number;
-  // An operation may have been sent before, and this router does not know what came of that.
+  // An earlier send of the operation may have run; this router has no record of its outcome.
   const bool may_be_resend = request.operation.has_value() && !Repeatable(request.service);
   answer.outcome = may_be_resend ? RequestOutcome::kOutcomeUnknown : RequestOutcome::kNotRun;
   answer.error = may_be_resend ? JournalNotConsulted(std::move(error)) : std::move(error);
@@ -181,7 +181,7 @@
       flow_.OnClaimResult(result, now, effects);
     }
   } else {
-    // Whoever leads is not known yet: the next try is by time, not at once.
+    // The leader is unknown: the renewal is sent again at its next due time, not at once.
     awaiting_renewal_since_.reset();
   }
   SendDue(now, effects);
@@ -230,7 +230,7 @@
     }
     router->Configure(service, bundle.groups);
   }
-  // A service that is gone lives on in its requests, and refuses new ones.
+  // Unanswered requests keep a removed service alive; new requests to it are refused.
   std::erase_if(services_,
                 [&](const auto& entry) { return bundle.FindService(entry.first) == nullptr; });
 }
--- a/src/routing/server_selector.cc
+++ b/src/routing/server_selector.cc
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Half of the time within which a drained server must get nothing new.
+/// Half of the time within which a draining server must stop getting new requests.
 constexpr Duration kDrainAllowance{1'000'000};
 constexpr double kLatencySmoothing = 0.1;
 constexpr double kLatencyUnknownUs = 1'000.0;
 constexpr std::uint64_t kAnswersForEstimate = 32;
-/// Two would do for even servers. With a fifth of them slow, two choices are both slow for 4 in 100
-/// requests; four choices for fewer than 2 in 1,000.
+/// Two choices suffice for equally fast servers. With a fifth of the servers slow, both of two
+/// choices are slow for 4 in 100 requests; all of four are for fewer than 2 in 1,000.
 constexpr int kChoices = 4;
 constexpr int kSampleTries = 8;
 
@@ -51,12 +51,12 @@
     server->since = now;
     lanes_[server->lane] = server.get();
   }
-  // A server that is met draining may have begun long ago.
+  // A server first listed as draining may have started to drain long ago.
   if (!entry.accepts_new_work && server->listed_before && server->accepts_new_work) {
     server->drained_since = confirmed_at_;
   }
   server->listed_before = true;
-  // One that takes work again after a drain or a lost lease starts slowly once more.
+  // A server that accepts work again after a drain or a lost lease gets a slow start again.
   if (entry.accepts_new_work && !server->accepts_new_work) server->since = now;
   server->listed = true;
   server->accepts_new_work = entry.accepts_new_work;
@@ -163,7 +163,7 @@
   switch (end) {
     case AttemptEnd::kAnswered:
       server->window.OnAnswered(latency, now);
-      // An error answer comes fast and says nothing about the time that work takes.
+      // An error answer arrives fast and gives no evidence of how long work takes.
       if (status >= kServerErrors) {
         outliers_.OnFailed(id, now);
       } else {
@@ -244,7 +244,7 @@
   if (server.latency_us <= 0.0) {
     server.latency_us = sample;
   } else {
-    // The more was forgotten, the more the first answer after a silence counts.
+    // The older the estimate, the more weight the first new sample gets.
     const double weight = std::max(kLatencySmoothing, 1.0 - LatencyWeight(server, now));
     server.latency_us += weight * (sample - server.latency_us);
   }
--- a/src/routing/service_router.h
+++ b/src/routing/service_router.h
@@ -1,6 +1,6 @@
 /// @file
-/// What a router knows and does for one service: admission, servers, retry budget and the figures
-/// that it reports to control.
+/// A router's state for one service: admission, servers, retry budgets and the load figures that it
+/// reports to control.
 #pragma once
 
 #include <cstdint>
@@ -16,15 +16,15 @@
 
 namespace graniteseam::routing {
 
-/// Means over time of one group's use of a service. Not thread safe.
+/// Time-weighted means of one group's use of a service. Not thread safe.
 class GroupUsage {
  public:
   void OnOffered() { ++offered_; }
-  /// Notes what is in flight and what waits from now on.
+  /// Sets the requests in flight and waiting from `now` on.
   void Set(double in_flight, double waiting, Instant now);
-  /// Returns the means since the last call.
+  /// Returns the means since the last call and starts a new period.
   control::GroupDemand Take(Instant now);
-  /// Whether there was anything to report since the last call.
+  /// Whether the group did not use the service since the last Take().
   bool Idle() const { return offered_ == 0 && in_flight_ == 0.0 && waiting_ == 0.0 && !used_; }
 
  private:
@@ -40,7 +40,7 @@
   Instant advanced_to_{};
 };
 
-/// One service in one router. Its parts are used by RequestFlow; not thread safe.
+/// One service in one router, used by RequestFlow. Not thread safe.
 class ServiceRouter {
  public:
   ServiceRouter(const bundle::Service& service, const SelectorOptions& selector_options,
@@ -53,22 +53,22 @@
   admission::GroupLimiter& limiter() { return limiter_; }
   ServerSelector& selector() { return selector_; }
   const ServerSelector& selector() const { return selector_; }
-  /// A group's own budget: a group that is shed a lot does not spend the others' retries.
+  /// The retry budget of one group: a group with many sheds does not use up other groups' retries.
   RetryBudget& budget(const GroupName& group) {
     return budgets_.try_emplace(group, budget_options_).first->second;
   }
 
-  /// Free places for a lane: those of the pool, or of the lane's server.
+  /// Free slots for a lane: those of the pool, or of the lane's server for a keyed service.
   std::size_t AvailableSlotsInLane(admission::Lane lane, Instant now) const;
 
   void OnOffered(const GroupName& group) { usage_[group].OnOffered(); }
-  /// Counts a request that waits outside of the limiter's queue.
+  /// Adjusts the number of requests that wait outside the limiter's queue.
   void AddHeld(const GroupName& group, int change) { held_[group] += change; }
-  /// Notes a group's present use; called after each change.
+  /// Records a group's current usage; called after each change.
   void RecordUsage(const GroupName& group, Instant now);
   void RecordShardLoad(std::uint32_t shard, Duration busy);
 
-  /// Moves the figures since the last call into a renewal.
+  /// Adds the figures since the last call to a renewal and resets them.
   void Report(control::RouterRenewal& renewal, Instant now);
 
  private:
