--- a/src/protocol/connection.cc
+++ b/src/protocol/connection.cc
@@ -15,27 +15,28 @@
 
 namespace asio = boost::asio;
 
-// A connection whose far machine is gone without a word is given up after about this long.
+// TCP limits that close a connection within about 11 s (idle) or 5 s (unacknowledged data) after
+// the remote machine has gone without closing it.
 constexpr int kKeepAliveIdleSeconds = 5;
 constexpr int kKeepAliveIntervalSeconds = 2;
 constexpr int kKeepAliveProbes = 3;
 constexpr int kUnacknowledgedMilliseconds = 5'000;
 
-// In calls of CheckLiveness(). A second without an answer: routers poll each 0.5 s and are answered
-// within milliseconds, and a peer that is short of processor time is late by some hundred of them.
+// In calls of CheckLiveness(): 1 s without an answer. Routers poll every 0.5 s and are answered
+// within milliseconds; a peer short of processor time answers some hundred milliseconds late.
 constexpr int kUnansweredChecksMaximum = 4;
-// 2 s without anything to say.
+// 2 s without a frame to send, after which a keep-alive is sent.
 constexpr int kIdleChecksMaximum = 8;
-// 5 s: longer than a dialling side that is there says nothing.
+// 5 s: longer than the interval at which a live dialling side sends keep-alives.
 constexpr int kSilentChecksMaximum = 20;
 
 constexpr std::size_t kReadBytesAtFirst = 2'048;
 constexpr std::size_t kReadBytesMaximum = 65'536;
-/// A shorter frame is copied: that costs less than a piece of its own in each write.
+/// Shorter frames are copied: that costs less than a separate buffer in each write.
 constexpr std::size_t kSharedBytesMinimum = 4'096;
 
 void SetOption(int descriptor, int level, int name, int value) {
-  // A refusal only costs speed of detection, so it is not an error.
+  // A failure only delays the detection of a lost peer, so it is not an error.
   setsockopt(descriptor, level, name, &value, sizeof(value));
 }
 
@@ -74,7 +75,8 @@
 void Connection::Start(Handlers handlers) {
   handlers_ = std::move(handlers);
   SetSocketOptions();
-  ArmDeadline(limits_.handshake_time, "The peer did not finish its hello in time.");
+  ArmDeadline(limits_.handshake_time,
+              "The peer did not complete the TLS handshake and hello in time.");
   if (tls_.enabled()) {
     BeginHandshake();
   } else {
@@ -151,8 +153,9 @@
 
 void Connection::CheckDialledLiveness() {
   if (unanswered_ && ++silent_checks_ >= kUnansweredChecksMaximum) {
-    Close({ErrorKind::kTransport, "The peer left what was sent to it unanswered.",
-           "It is dialled again by itself; check the peer and the network when this repeats."});
+    Close({ErrorKind::kTransport, "The peer did not answer within 1 s.",
+           "The connection is dialled again automatically; check the peer and the network if this "
+           "repeats."});
     return;
   }
   if (++idle_checks_ < kIdleChecksMaximum) return;
@@ -162,8 +165,8 @@
 
 void Connection::CheckAcceptedLiveness() {
   if (++silent_checks_ >= kSilentChecksMaximum) {
-    Close({ErrorKind::kTransport, "The peer fell silent.",
-           "It dials again by itself; check the peer and the network when this repeats."});
+    Close({ErrorKind::kTransport, "The peer sent nothing for 5 s.",
+           "The peer dials again automatically; check the peer and the network if this repeats."});
     return;
   }
   if (!unanswered_) return;
@@ -262,13 +265,13 @@
   Read();
 }
 
-/// After a refusal: what still arrives is thrown away until the peer has closed, since closing with
-/// unread bytes would let the kernel drop the refusal on its way.
+/// After a refusal, input is discarded until the peer has closed: closing with unread bytes would
+/// make the kernel reset the connection and could lose the refusal.
 void Connection::DiscardInput() {
   if (!closed_) Read();
 }
 
-/// @return false when no more frames are to be taken.
+/// @return false when no more frames are to be handled.
 bool Connection::HandleFrames() {
   while (!closed_ && !refused_) {
     const auto outcome = Attempt([&] { return reader_.Next(); });
@@ -278,7 +281,7 @@
     }
     auto frame = std::get<std::optional<Frame>>(outcome);
     if (!frame) return true;
-    // A frame that is whole ends the time limit of its arrival; the next one begins its own.
+    // A complete frame ends its time limit; the next frame starts its own.
     if (ready_) DisarmDeadline();
     metrics_.frames_received.Increment();
     if (const std::optional<Error> refused = HandleFrame(std::move(*frame))) {
@@ -296,7 +299,7 @@
   }
   if (!ready_) return HandleHello(frame);
   if (frame.kind == FrameKind::kHello) {
-    return Error{ErrorKind::kMalformedMessage, "The peer said hello twice.",
+    return Error{ErrorKind::kMalformedMessage, "The peer sent a second hello frame.",
                  "Connect only graniteseam's own processes to this port."};
   }
   if (frame.kind == FrameKind::kKeepAlive) return std::nullopt;
@@ -305,7 +308,7 @@
 
 std::optional<Error> Connection::HandleHello(const Frame& frame) {
   if (frame.kind != FrameKind::kHello) {
-    return Error{ErrorKind::kMalformedMessage, "The peer did not say hello first.",
+    return Error{ErrorKind::kMalformedMessage, "The peer's first frame is not a hello.",
                  "Connect only graniteseam's own processes to this port."};
   }
   const auto decoded = Attempt([&] { return codec::Decode<Hello>(frame.payload); });
@@ -324,7 +327,8 @@
   const auto decoded = Attempt([&] { return codec::Decode<Refusal>(frame.payload); });
   if (const Error* error = ErrorOf(decoded)) return *error;
   const Refusal& refusal = std::get<Refusal>(decoded);
-  return {ErrorKind::kTransport, "The peer refused (" + refusal.kind + "): " + refusal.message,
+  return {ErrorKind::kTransport,
+          "The peer refused the connection (" + refusal.kind + "): " + refusal.message,
           refusal.remedy};
 }
 
@@ -335,9 +339,10 @@
                {{"kind", std::string(ErrorKindName(reason.kind))}})
       .Increment();
   const Refusal refusal{std::string(ErrorKindName(reason.kind)), reason.message, reason.remedy};
-  // Whoever does not take the refusal within the handshake's time is cut off without it.
+  // A peer that does not read the refusal within the handshake timeout is disconnected without it.
   DisarmDeadline();
-  ArmDeadline(limits_.handshake_time, "The peer was refused and did not take it.");
+  ArmDeadline(limits_.handshake_time,
+              "The peer was refused and did not close the connection in time.");
   refused_ = reason;
   Queue(EncodeFrame(FrameKind::kRefusal, codec::Encode(refusal)));
 }
@@ -347,9 +352,10 @@
   const std::uint64_t generation = ++deadline_generation_;
   deadline_.expires_after(span);
   deadline_.async_wait([self = shared_from_this(), what, generation](ErrorCode error) {
-    // An expiry that was already on its way when the deadline was disarmed does not count.
+    // Ignores an expiry that was already queued when the deadline was disarmed.
     if (error || self->closed_ || generation != self->deadline_generation_) return;
-    self->Close({ErrorKind::kTransport, what, "Check the peer and the network between."});
+    self->Close(
+        {ErrorKind::kTransport, what, "Check the peer and the network between the processes."});
   });
 }
 
@@ -362,8 +368,9 @@
 
 void Connection::CloseFor(ErrorCode error) {
   Close(refused_ ? *refused_
-                 : Error{ErrorKind::kTransport, "The connection broke: " + error.message() + ".",
-                         "It is tried again by itself; check the network when this repeats."});
+                 : Error{ErrorKind::kTransport, "The connection was lost: " + error.message() + ".",
+                         "The connection is dialled again automatically; check the network if this "
+                         "repeats."});
 }
 
 void Connection::Close(const Error& reason) {
@@ -374,7 +381,7 @@
   ErrorCode ignored;
   socket_.shutdown(Socket::shutdown_both, ignored);
   socket_.close(ignored);
-  // Posted, because one of the handlers may be what called this.
+  // Posted, because one of the handlers may have called this function.
   asio::post(socket_.get_executor(),
              [handlers = std::exchange(handlers_, {}), reason] { handlers.on_closed(reason); });
 }
--- a/src/protocol/connection.h
+++ b/src/protocol/connection.h
@@ -1,5 +1,5 @@
 /// @file
-/// One framed connection between two of the system's own processes, dialled or accepted.
+/// A framed connection between two graniteseam processes, dialled or accepted.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -19,7 +19,7 @@
 
 namespace graniteseam::protocol {
 
-/// Statistics of framed connections.
+/// Metrics of all framed connections of a process.
 struct ConnectionMetrics {
   explicit ConnectionMetrics(runtime::MetricsRegistry& registry);
 
@@ -43,7 +43,7 @@
   enum class Side { kDialled, kAccepted };
 
   struct Handlers {
-    /// The peer said hello and the versions agree.
+    /// The peer has sent its hello and a protocol version is agreed.
     /// @return an error to refuse the peer.
     std::function<std::optional<Error>(const Hello& peer)> on_ready;
     /// @return an error to refuse the message and close.
@@ -59,23 +59,24 @@
   /// Queues one message.
   /// @return false when it does not fit the queue or the connection is not ready.
   bool Send(std::string_view payload);
-  /// The same of a frame that EncodeFrame() made, and that other connections may send too: it is
-  /// kept once for all of them.
+  /// Queues a frame from EncodeFrame(). Several connections may share the frame without a copy.
+  /// @return as Send().
   bool SendFrame(std::shared_ptr<const std::string> frame);
 
-  /// Finds out that the other side hears nothing, or that nothing comes from it any more. To be
-  /// called each kLivenessCheckInterval.
+  /// Detects a connection that no longer transports data in one or both directions, and closes it.
+  /// Must be called every kLivenessCheckInterval.
   ///
-  /// A connection may fall silent without an end, in one direction or both, while new ones work;
-  /// the kernel tells after 5 s, and never where something between acknowledges. A router on such a
-  /// connection goes on by an old configuration, and a group whose members are on such ones has no
-  /// quorum, for as long: longer than the 3 s after which the users take a machine to be in touch.
-  /// So the accepting side answers whatever comes, with a keep-alive when it has nothing else to
-  /// say, and the dialling side, which also sends one when it has nothing else, gives up on a
-  /// connection on which nothing came back for 1 s. It dials again at once.
-  /// Five bytes each way in 2 s on a connection at rest.
+  /// A connection may stop transporting data without being closed while new connections work. The
+  /// kernel reports this after 5 s, or never if a middlebox acknowledges the data. For that time a
+  /// router uses an old configuration and a group of such members has no quorum, which is longer
+  /// than the 3 s within which users expect a machine to be in contact. The accepting side
+  /// therefore answers all received data, with a keep-alive if it has no other frame. The dialling
+  /// side sends a keep-alive if it has nothing else to send, closes the connection if nothing is
+  /// received for 1 s after a send, and dials again at once. An idle connection costs five bytes
+  /// each way per 2 s.
   ///
-  /// Counted in calls, not in time: a process that stood still finds what came meanwhile first.
+  /// Limits are counted in calls instead of time, so that a process that was suspended first reads
+  /// the data that arrived in the meantime.
   void CheckLiveness();
 
   void Close(const Error& reason);
@@ -104,7 +105,7 @@
   void Write();
   void OnWritten(ErrorCode error);
   void ShutdownSend();
-  /// Tells the peer why, then closes.
+  /// Sends the reason to the peer, then closes.
   void Refuse(const Error& reason);
   void ArmDeadline(std::chrono::milliseconds span, const char* what);
   void DisarmDeadline();
@@ -130,26 +131,27 @@
   bool deadline_armed_ = false;
   std::uint64_t deadline_generation_ = 0;
   FrameReader reader_;
-  /// Small until much comes at once: a thousand routers' connections tell little each.
+  /// Grows only after a full read: each of a thousand router connections carries little data.
   std::vector<char> read_buffer_;
-  /// Frames of this connection alone, or one that it shares with others.
+  /// Frames owned by this connection, or one frame shared with other connections.
   struct Output {
     std::string own;
     std::shared_ptr<const std::string> shared;
     std::string_view bytes() const { return shared ? *shared : own; }
   };
-  std::vector<Output> waiting_;    ///< Queued while a write is under way.
+  std::vector<Output> waiting_;    ///< Queued while a write is in progress.
   std::vector<Output> in_flight_;  ///< Being written.
-  std::size_t queued_bytes_ = 0;   ///< Of both.
-  /// The dialling side sent something, and the accepting side got something, that is not answered.
+  std::size_t queued_bytes_ = 0;   ///< In `waiting_` and `in_flight_`.
+  /// Dialling side: a sent frame is unanswered. Accepting side: received data is unanswered.
   bool unanswered_ = false;
-  int silent_checks_ =
-      0;  ///< Calls of CheckLiveness() since it is unanswered, or since something came.
-  int idle_checks_ = 0;  ///< Calls of CheckLiveness() since this side sent something.
+  int silent_checks_ = 0;  ///< CheckLiveness() calls since the unanswered send or the last
+  ///< received data.
+  int idle_checks_ = 0;  ///< CheckLiveness() calls since the last send.
   bool writing_ = false;
   bool ready_ = false;
   bool closed_ = false;
-  std::optional<Error> refused_;  ///< Set once a refusal was queued: close when it is written.
+  std::optional<Error>
+      refused_;  ///< Set once a refusal was queued; sending ends when it is written.
 };
 
 }  // namespace graniteseam::protocol
--- a/src/protocol/dialer.cc
+++ b/src/protocol/dialer.cc
@@ -14,13 +14,14 @@
 constexpr std::chrono::milliseconds kDialDelayMinimum{20};
 constexpr std::chrono::milliseconds kDialDelayMaximum{400};
 constexpr std::chrono::milliseconds kDialTimeout{400};
-/// For TLS and hello. With the time for dialling again less than 3 s, after which a machine is
-/// taken to be in touch: the hello may be lost with a connection that falls silent as it is made.
+/// For TLS and hello. Together with the time to dial again less than the 3 s within which a machine
+/// is expected to be in contact: the hello is lost if the connection stops transporting data during
+/// its set-up.
 constexpr std::chrono::milliseconds kHandshakeTimeoutMinimum{2'000};
-/// Doubled up to here with each connection that did not get ready: a far end that is only slow
-/// needs time and not another connection. 66 dialers that came again each 2.4 s kept a relay which
-/// needed 18 ms and more for a connection from leading any on, and their group without a leader for
-/// 48 s.
+/// The timeout doubles up to this with each connection that did not become ready, since a slow peer
+/// needs time rather than another connection. 66 dialers that redialled every 2.4 s overloaded a
+/// relay that needed 18 ms or more per connection: it completed none, and their group had no leader
+/// for 48 s.
 constexpr std::chrono::milliseconds kHandshakeTimeoutMaximum{8'000};
 
 }  // namespace
@@ -120,7 +121,7 @@
     last_reason_ = reason;
     runtime::Logger("internal").Info("No connection to {}: {}", ToString(address_), reason);
   }
-  // Between half and the whole of the delay, so that many dialers do not come back together.
+  // Jitter between half and the full delay, so that many dialers do not redial together.
   std::uniform_int_distribution<std::int64_t> spread(delay_.count() / 2, delay_.count());
   timer_.expires_after(std::chrono::milliseconds(spread(jitter_)));
   timer_.async_wait([self = shared_from_this()](auto error) {
--- a/src/protocol/dialer.h
+++ b/src/protocol/dialer.h
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps one connection to one address: dials, waits with growing and jittered delays, dials again.
+/// Maintains one connection to one address and redials with exponential, jittered back-off.
 #pragma once
 
 #include <functional>
@@ -12,8 +12,10 @@
 
 namespace graniteseam::protocol {
 
-/// Lifecycle: Start() once, Stop() before the last owner lets go. Everything runs on the event
-/// loop's thread. Keeps itself alive while an operation is under way.
+/// Maintains a connection to one address.
+///
+/// Lifecycle: Start() once, Stop() before the last reference is released. All calls and handlers
+/// run on the event loop's thread. Keeps itself alive while an operation is pending.
 class Dialer : public std::enable_shared_from_this<Dialer> {
  public:
   struct Handlers {
@@ -50,14 +52,14 @@
   ConnectionMetrics& metrics_;
   Handlers handlers_;
   Connection::Socket socket_;
-  boost::asio::steady_timer timer_;  ///< Of dialling, and of the connection's watch.
+  boost::asio::steady_timer timer_;  ///< For dialling, redialling and liveness checks.
   std::shared_ptr<Connection> connection_;
   std::chrono::milliseconds delay_;
-  std::chrono::milliseconds handshake_time_;  ///< Of the next connection.
+  std::chrono::milliseconds handshake_time_;  ///< Handshake timeout of the next connection.
   std::minstd_rand jitter_;
   bool was_ready_ = false;
   bool stopped_ = false;
-  std::string last_reason_;  ///< Logged once until it changes or a connection stood.
+  std::string last_reason_;  ///< Logged once until it changes or a connection becomes ready.
 };
 
 }  // namespace graniteseam::protocol
--- a/src/protocol/frame.cc
+++ b/src/protocol/frame.cc
@@ -45,7 +45,7 @@
   const auto kind = static_cast<unsigned char>(waiting[kLengthBytes]);
   if (!IsKnownKind(kind)) {
     return Fail(ErrorKind::kMalformedMessage,
-                "A frame has the unknown kind " + std::to_string(kind) + ".",
+                "The frame kind is unknown: " + std::to_string(kind) + ".",
                 "Connect only graniteseam's own processes to this port.");
   }
   if (length > payload_limit_) {
--- a/src/protocol/frame.h
+++ b/src/protocol/frame.h
@@ -17,9 +17,10 @@
   kHello = 1,      ///< The first frame of each side.
   kMessage = 2,    ///< One Avro-encoded message.
   kRefusal = 3,    ///< Why the sender closes the connection.
-  kKeepAlive = 4,  ///< Empty: the sender is there.
+  kKeepAlive = 4,  ///< Empty payload: shows that the sender is alive.
 };
 
+/// One received frame.
 struct Frame {
   FrameKind kind = FrameKind::kMessage;
   std::string payload;
@@ -28,7 +29,7 @@
 inline constexpr std::size_t kFrameHeaderBytes = 5;
 /// Holds a whole shard map of 87,000 shards (3.0 MB as encoded) with room to spare.
 inline constexpr std::size_t kFramePayloadMaximum = std::size_t{16} << 20;
-/// Until a peer said hello it gets no more memory than this.
+/// Payload limit until the peer has sent its hello; bounds the memory of unidentified peers.
 inline constexpr std::size_t kHelloPayloadMaximum = std::size_t{4} << 10;
 
 /// @param payload at most kFramePayloadMaximum long; see FitsFrame().
@@ -38,22 +39,23 @@
   return payload.size() <= kFramePayloadMaximum;
 }
 
-/// Cuts a stream of bytes into frames. Memory is bounded by what arrived, never by what a header
-/// claims. Not thread safe.
+/// Parses a byte stream into frames. Memory is bounded by the bytes received, not by the length in
+/// a header. Not thread safe.
 class FrameReader {
  public:
   /// Frames with a longer payload are refused; at first kHelloPayloadMaximum.
   void set_payload_limit(std::size_t limit) { payload_limit_ = limit; }
 
-  /// Takes the next bytes of the stream.
+  /// Appends the next bytes of the stream.
   void Feed(std::string_view bytes);
 
-  /// Takes the next whole frame out.
-  /// @return nullopt when it has not arrived yet; kTooLarge or kMalformedMessage when the stream
-  ///     can not go on.
+  /// Removes and returns the next complete frame.
+  /// @return nullopt when it is incomplete; kTooLarge or kMalformedMessage when the stream cannot
+  /// be
+  ///     parsed further.
   Result<std::optional<Frame>> Next();
 
-  /// Whether a frame has begun to arrive and is not whole.
+  /// Whether a frame has been received in part.
   bool InFrame() const { return buffer_.size() > consumed_; }
 
  private:
--- a/src/protocol/hello.cc
+++ b/src/protocol/hello.cc
@@ -27,7 +27,7 @@
 
 namespace {
 
-/// What follows a feature's prefix; empty when the hello does not have it.
+/// The text after a feature's prefix; empty when the hello does not contain the feature.
 std::string FeatureOf(const Hello& hello, std::string_view prefix) {
   for (const std::string& feature : hello.features) {
     if (feature.starts_with(prefix)) return feature.substr(prefix.size());
@@ -50,14 +50,14 @@
                     std::to_string(peer.newest_version) + ", this one " +
                     std::to_string(own.oldest_version) + " to " +
                     std::to_string(own.newest_version) + ".",
-                "Upgrade one release at a time, so that neighbouring releases meet.");
+                "Upgrade one release at a time, so that only adjacent releases are connected.");
   }
   if (own.newest_version == peer.newest_version &&
       own.schema_fingerprint != peer.schema_fingerprint) {
     return Fail(ErrorKind::kIncompatibleFormat,
                 "Process \"" + peer.name + "\" has other message schemas under protocol version " +
                     std::to_string(agreed) + ".",
-                "Run the same release everywhere; mixed development builds do not go together.");
+                "Run the same release everywhere; different development builds are incompatible.");
   }
   return agreed;
 }
--- a/src/protocol/hello.h
+++ b/src/protocol/hello.h
@@ -1,6 +1,6 @@
 /// @file
-/// The first words of an internal connection: who speaks, and which versions of the protocol it
-/// knows. The form of Hello and Refusal never changes, so that any two versions understand them.
+/// The hello exchange of an internal connection: the sender's identity and its protocol versions.
+/// The schemas of Hello and Refusal never change, so that any two versions can decode them.
 #pragma once
 
 #include <boost/describe/class.hpp>
@@ -13,13 +13,14 @@
 
 namespace graniteseam::protocol {
 
-/// The newest version of the internal protocol that this build speaks, and the oldest.
+/// The newest and the oldest version of the internal protocol that this build supports.
 inline constexpr std::int32_t kProtocolVersion = 11;
 inline constexpr std::int32_t kOldestProtocolVersion = 11;
 
 enum class ProcessKind { kControl, kRouter };
 BOOST_DESCRIBE_ENUM(ProcessKind, kControl, kRouter)
 
+/// The first message of each side.
 struct Hello {
   std::int32_t newest_version = kProtocolVersion;
   std::int32_t oldest_version = kOldestProtocolVersion;
@@ -27,14 +28,14 @@
   std::string name;  ///< The process's id, for logs.
   /// InternalSchemaFingerprint() of the newest version.
   std::uint64_t schema_fingerprint = 0;
-  std::vector<std::string> features;  ///< Room for additions; unknown ones are ignored.
+  std::vector<std::string> features;  ///< Extensions; unknown ones are ignored.
 
   bool operator==(const Hello&) const = default;
 };
 BOOST_DESCRIBE_STRUCT(Hello, (),
                       (newest_version, oldest_version, kind, name, schema_fingerprint, features))
 
-/// Sent before a connection is closed for a fault of the receiver.
+/// Sent before a connection is closed because of an error of the receiver.
 struct Refusal {
   std::string kind;  ///< ErrorKindName().
   std::string message;
@@ -50,22 +51,23 @@
 /// The hello of this build.
 Hello MakeHello(ProcessKind kind, std::string name);
 
-/// The feature by which a control process says where operators reach it: prefix, then "ip:port".
+/// Feature with the address of a control process's operator endpoint: prefix, then "ip:port".
 inline constexpr char kHttpAddressFeature[] = "http_address=";
 
-/// The same for instances that register themselves and for traffic's operators.
+/// Feature with the address for instance registration and for operators of the traffic
+/// configuration: prefix, then "ip:port".
 inline constexpr char kRegistryAddressFeature[] = "registry_address=";
 
-/// Where a control process is reached from outside; each empty when it did not say.
+/// External addresses of a control process; each is empty when the hello does not contain it.
 struct ServedAddresses {
   std::string http;      ///< By operators.
   std::string registry;  ///< By instances, and by operators of the traffic configuration.
 };
 
-/// The addresses that a hello names.
+/// Returns the addresses in a hello.
 ServedAddresses ServedAddressesOf(const Hello& hello);
 
-/// Agrees on the newest version that both sides speak.
+/// Selects the newest version that both sides support.
 /// @return that version; kIncompatibleFormat when there is none, or when both claim the same newest
 ///     version with different schemas.
 Result<std::int32_t> AgreeVersion(const Hello& own, const Hello& peer);
--- a/src/protocol/internal_security.h
+++ b/src/protocol/internal_security.h
@@ -1,5 +1,5 @@
 /// @file
-/// How the system's own processes know each other on their internal connections. See
+/// Authentication and encryption of internal connections. See
 /// docs/design/security.md.
 #pragma once
 
@@ -8,12 +8,12 @@
 namespace graniteseam::protocol {
 
 /// With a secret file, connections are TLS with a pre-shared key (RFC 8446, section 2.2): both
-/// sides prove that they know the secret, and what they say is encrypted. Without one they are
-/// plain; programs refuse that on addresses other than loopback.
+/// sides prove possession of the secret, and the traffic is encrypted. Without one they are
+/// plaintext; programs refuse that on addresses other than loopback.
 struct InternalSecurity {
-  std::string secret_file;  ///< Path; empty means plain connections.
-  /// The operator vouches that nobody else reaches the internal addresses: plain connections are
-  /// then taken beyond loopback too.
+  std::string secret_file;  ///< Path; empty means plaintext connections.
+  /// The operator guarantees that no other process can reach the internal addresses: plaintext
+  /// connections are then accepted on addresses other than loopback too.
   bool trusted_network = false;
 };
 
--- a/src/protocol/internal_server.cc
+++ b/src/protocol/internal_server.cc
@@ -15,7 +15,7 @@
 
 namespace asio = boost::asio;
 
-/// Everything below runs on the event loop's thread, save Start() and port().
+/// All members except Start() and port() run on the event loop's thread.
 class InternalServer::Impl : public std::enable_shared_from_this<InternalServer::Impl> {
  public:
   Impl(InternalServerOptions options, runtime::EventLoop& loop, runtime::MetricsRegistry& registry,
@@ -30,7 +30,8 @@
 
   Result<void> Start();
   void Accept();
-  /// One timer for all connections: hundreds of their own would wake the process as often.
+  /// Uses one timer for all connections: hundreds of separate timers would wake the process as many
+  /// times per interval.
   void ScheduleLivenessCheck();
   void SendToRouter(RouterConnectionId id, std::shared_ptr<const std::string> frame);
   void Disconnect();
@@ -41,7 +42,7 @@
  private:
   struct Client {
     std::shared_ptr<Connection> connection;
-    std::optional<ProcessKind> kind;  ///< Known once it said hello.
+    std::optional<ProcessKind> kind;  ///< Set once its hello was received.
   };
 
   void Take(Connection::Socket socket);
@@ -73,7 +74,7 @@
   if (!error) acceptor_.listen(asio::socket_base::max_listen_connections, error);
   if (error) {
     return Fail(ErrorKind::kInvalidSettings,
-                "Can not listen on " + ToString(options_.address) + ": " + error.message() + ".",
+                "Cannot listen on " + ToString(options_.address) + ": " + error.message() + ".",
                 "Free the port, or set another peer_address.");
   }
   port_ = acceptor_.local_endpoint().port();
@@ -164,9 +165,9 @@
   const auto found = clients_.find(id);
   if (found == clients_.end()) return;
   if (found->second.connection->SendFrame(std::move(frame))) return;
-  found->second.connection->Close({ErrorKind::kOverloaded,
-                                   "The router does not take its messages fast enough.",
-                                   "Check the router and the network between."});
+  found->second.connection->Close(
+      {ErrorKind::kOverloaded, "The send queue of the router's connection is full.",
+       "Check the router's load and the network between the processes."});
 }
 
 void InternalServer::Impl::Disconnect() {
@@ -199,7 +200,7 @@
 }
 
 void InternalServer::AfterSent(std::function<void()> callback) {
-  // The way of the messages: encoder first, then the connections' thread.
+  // Follows the path of the messages: first the encoder thread, then the event loop's thread.
   asio::post(encoder_.context(), [this, callback = std::move(callback)]() mutable {
     asio::post(impl_->loop().context(), std::move(callback));
   });
@@ -210,7 +211,7 @@
   if (message == encoded_message_) return encoded_;
   auto frame = std::make_shared<const std::string>(
       EncodeFrame(FrameKind::kMessage, codec::Encode(*message)));
-  // One that nobody else holds does not come again.
+  // A message without another owner is not sent again, so its frame is not cached.
   if (message.use_count() > 1) {
     encoded_message_ = message;
     encoded_ = frame;
--- a/src/protocol/internal_server.h
+++ b/src/protocol/internal_server.h
@@ -1,5 +1,5 @@
 /// @file
-/// A control process's internal port: takes connections of control peers and of routers.
+/// A control process's internal port: accepts connections from control peers and routers.
 #pragma once
 
 #include <cstdint>
@@ -19,18 +19,21 @@
 
 namespace graniteseam::protocol {
 
+/// Settings of the internal port.
 struct InternalServerOptions {
   runtime::SocketAddress address;
-  std::string name;  ///< This process's id, for logs at the other side.
+  std::string name;  ///< This process's id, for the peer's logs.
   InternalSecurity security;
-  /// Connections beyond this are closed at once: bounds memory and descriptors.
+  /// Further connections are closed at once; bounds memory and file descriptors.
   std::size_t connections_maximum = 4'096;
   ConnectionLimits limits;
 };
 
-/// Names a router's connection as long as the process runs.
+/// Identifies a router's connection; unique within one run of the process.
 using RouterConnectionId = std::uint64_t;
 
+/// Accepts connections and exchanges messages with peers and routers.
+///
 /// Lifecycle: Start() once; stop the event loop before destruction. SendToRouter() and Disconnect()
 /// are thread safe; handlers run on the event loop's thread.
 class InternalServer {
@@ -50,40 +53,41 @@
   InternalServer& operator=(const InternalServer&) = delete;
 
   /// Opens the port.
-  /// @return kInvalidSettings when the address can not be listened on or the secret file is wrong.
+  /// @return kInvalidSettings when listening on the address fails or the secret file is invalid.
   Result<void> Start();
 
-  /// The port listened on, also when the settings named port 0.
+  /// The port in use, also when the settings specify port 0.
   std::uint16_t port() const;
 
-  /// Sends to one router. A connection whose queue is full is closed: the router comes back and
-  /// asks for what it lacks.
+  /// Sends to one router. A connection whose queue is full is closed; the router reconnects and
+  /// requests the missing state.
   void SendToRouter(RouterConnectionId connection, control::ControlToRouter message) {
     SendToRouter(connection, std::make_shared<const control::ControlToRouter>(std::move(message)));
   }
-  /// A message that goes to several routers in a row is encoded once.
+  /// Encodes a message that is sent to several routers in succession only once.
   void SendToRouter(RouterConnectionId connection,
                     std::shared_ptr<const control::ControlToRouter> message);
 
-  /// Calls back, on the event loop's thread, once what was sent to routers before was handed to
-  /// their connections.
+  /// Calls `callback` on the event loop's thread once all earlier messages to routers have been
+  /// passed to their connections.
   void AfterSent(std::function<void()> callback);
 
-  /// Stops taking connections and closes those of routers, so that they turn to another process.
+  /// Stops accepting connections and closes all open ones, so that routers switch to another
+  /// process.
   void Disconnect();
 
  private:
-  /// On the encoder's thread only.
+  /// Runs on the encoder's thread only.
   /// @return the frame.
   std::shared_ptr<const std::string> EncodeOnce(
       const std::shared_ptr<const control::ControlToRouter>& message);
 
   class Impl;
   std::shared_ptr<Impl> impl_;
-  /// Encodes for routers: a whole map of a large fleet takes so long that peers' heartbeats must
-  /// not wait for it on the connections' thread.
+  /// Thread that encodes messages to routers: encoding the whole map of a large fleet takes so long
+  /// that it would delay the peers' heartbeats on the connections' thread.
   runtime::EventLoop encoder_;
-  // The shared message that was encoded last, on the encoder's thread only.
+  // The last shared message and its frame; accessed on the encoder's thread only.
   std::shared_ptr<const control::ControlToRouter> encoded_message_;
   std::shared_ptr<const std::string> encoded_;
 };
--- a/src/protocol/internal_settings.cc
+++ b/src/protocol/internal_settings.cc
@@ -32,8 +32,8 @@
     if (security.secret_file.empty()) {
       if (security.trusted_network || OnlyLoopback(own, peers)) return;
       faults.push_back(
-          {"settings", kKey, "An internal address is not on loopback.",
-           "Set internal_secret_file, or trusted_network where nobody else reaches it."});
+          {"settings", kKey, "An internal address is not a loopback address and no secret is set.",
+           "Set internal_secret_file, or trusted_network if no other process can reach it."});
       return;
     }
     const auto keys = Attempt([&] { return ReadSecretFile(security.secret_file); });
--- a/src/protocol/internal_settings.h
+++ b/src/protocol/internal_settings.h
@@ -1,5 +1,5 @@
 /// @file
-/// The settings of internal connections, equal in every program that has any.
+/// Settings of internal connections, common to all programs that have them.
 #pragma once
 
 #include "src/protocol/internal_security.h"
--- a/src/protocol/internal_tls.cc
+++ b/src/protocol/internal_tls.cc
@@ -83,7 +83,7 @@
 
 Result<std::vector<InternalKey>> ReadSecretFile(const std::string& path) {
   std::ifstream file(path);
-  if (!file) return FailSecret(path, "The file can not be read.");
+  if (!file) return FailSecret(path, "The file cannot be read.");
   std::vector<InternalKey> keys;
   std::string line;
   while (std::getline(file, line)) {
@@ -91,7 +91,7 @@
     if (line.size() < kSecretCharactersMinimum) return FailSecret(path, "A secret is too short.");
     keys.push_back(DeriveKey(line));
   }
-  if (keys.empty()) return FailSecret(path, "The file holds no secret.");
+  if (keys.empty()) return FailSecret(path, "The file contains no secret.");
   return keys;
 }
 
@@ -107,7 +107,7 @@
   SSL_CTX* const context = context_.native_handle();
   SSL_CTX_set_min_proto_version(context, TLS1_3_VERSION);
   SSL_CTX_set_ciphersuites(context, kCipherSuite);
-  // No session is resumed: each connection proves the secret that is in use then.
+  // Session resumption is off: each connection must prove a secret that is currently in use.
   SSL_CTX_set_session_cache_mode(context, SSL_SESS_CACHE_OFF);
   SSL_CTX_set_num_tickets(context, 0);
   SSL_CTX_set_ex_data(context, KeysIndex(), &keys_->keys);
--- a/src/protocol/internal_tls.h
+++ b/src/protocol/internal_tls.h
@@ -12,37 +12,37 @@
 
 namespace graniteseam::protocol {
 
-/// Shortest secret taken, in characters.
+/// Minimum length of a secret, in characters.
 inline constexpr std::size_t kSecretCharactersMinimum = 32;
 
-/// One shared secret as TLS uses it.
+/// A TLS pre-shared key derived from a secret.
 struct InternalKey {
-  std::string identity;  ///< Names the key without giving it away.
+  std::string identity;  ///< Identifies the key without revealing it.
   std::string key;       ///< 32 bytes derived from the secret's text.
 };
 
-/// Reads a secret file: one secret a line, "#" begins a comment. The first dials; all are accepted,
-/// so that a secret is replaced without a gap.
-/// @return kInvalidSettings when the file can not be read, holds no secret, or a secret is too
+/// Reads a secret file: one secret per line, "#" starts a comment. The first is used to dial; all
+/// are accepted, so that a secret can be replaced without an interruption.
+/// @return kInvalidSettings when the file cannot be read, contains no secret, or a secret is too
 ///     short.
 Result<std::vector<InternalKey>> ReadSecretFile(const std::string& path);
 
 /// TLS contexts of one process, or none when no secret is set. The secret file is read again when
-/// it changed, at the next handshake; a faulty new file leaves the old secrets in use. Used on the
-/// event loop's thread.
+/// it changed, at the next handshake; if the new file is invalid, the old secrets stay in use. All
+/// calls run on the event loop's thread.
 class InternalTls {
  public:
-  /// Without a secret file, or before Load(), connections are plain.
+  /// Without a secret file, or before Load(), connections are plaintext.
   explicit InternalTls(InternalSecurity security);
   ~InternalTls();
   InternalTls(const InternalTls&) = delete;
   InternalTls& operator=(const InternalTls&) = delete;
 
-  /// Reads the secrets. Call it once before the first connection.
+  /// Reads the secrets. Must be called once before the first connection.
   Result<void> Load();
 
   bool enabled() const { return !security_.secret_file.empty(); }
-  /// The context for a handshake that begins now.
+  /// The context for a new handshake, with the current secrets.
   boost::asio::ssl::context& ContextForHandshake();
 
  private:
--- a/src/protocol/leader_tracker.cc
+++ b/src/protocol/leader_tracker.cc
@@ -6,17 +6,17 @@
 namespace graniteseam::protocol {
 namespace {
 
-/// While a group elects, every process answers "not leader" at once; this keeps a router from
-/// asking round in a tight loop. Doubled with each turn that found no leader: 285 routers that
-/// asked each 10 ms sent 28,500 messages a second to a group that had too little processor time to
-/// elect, and so kept it from it. Once there is a leader a follower names it, so that a router
-/// finds it within the longest interval.
+/// Minimum time between leader switches. During an election every process answers "not leader" at
+/// once; the interval keeps a router from polling all processes in a tight loop. It doubles with
+/// each switch that found no leader: 285 routers that asked every 10 ms sent 28,500 messages per
+/// second to a group short of processor time, which prevented its election. Once there is a leader,
+/// followers name it, so that a router finds it within the maximum interval.
 constexpr Duration kSwitchIntervalMinimum{10'000};
 constexpr Duration kSwitchIntervalMaximum{320'000};
-/// Unanswered messages are forgotten after this many silence limits.
+/// Unanswered messages are dropped after this many answer timeouts.
 constexpr int kExpiryTimeouts = 10;
 constexpr std::size_t kPendingMaximum = 256;
-/// Turns kept for whoever takes them for its log.
+/// Switches retained until TakeSwitches().
 constexpr std::size_t kSwitchesRetainedMaximum = 16;
 
 std::uint64_t SequenceOf(const control::RouterToControl& message) {
@@ -41,7 +41,7 @@
   return false;
 }
 
-/// Whether a newer message of the kind says all that an older one said.
+/// Whether a newer message of the same kind replaces an older one.
 bool Supersedes(const control::RouterToControl& newer, const control::RouterToControl& older) {
   return newer.index() == older.index() && !std::holds_alternative<control::JournalRequest>(newer);
 }
@@ -61,7 +61,7 @@
   if (pending_.size() >= kPendingMaximum) pending_.pop_front();
   pending_.push_back({std::move(message), now, now});
   if (connected_[target_]) return {SendOne(pending_.back(), now)};
-  // Goes out on connecting, or when Tick() turns away.
+  // Sent once the target is connected, or when Tick() switches the target.
   if (!unanswered_since_) unanswered_since_ = now;
   return {};
 }
@@ -97,11 +97,11 @@
                                                    const control::NotLeaderAnswer& answer,
                                                    Instant now) {
   const std::size_t index = IndexOf(address);
-  if (index != target_) return {};  // Of an earlier target: already turned away.
+  if (index != target_) return {};  // From an earlier target.
   unanswered_since_.reset();
   if (answer.leader_address.empty()) return SwitchTo(NextConnected(), "not_leader", now);
   const std::size_t hinted = IndexOf(answer.leader_address);
-  // A follower may still name a leader that this router just found silent.
+  // A follower may still name a leader that this router just found unresponsive.
   if (RecentlyUnresponsive(hinted, now)) return SwitchTo(NextConnected(), "not_leader", now);
   return SwitchTo(hinted, "not_leader", now);
 }
@@ -110,7 +110,7 @@
   DropExpired(now);
   if (wanted_target_ && now >= next_switch_) return SwitchTo(*wanted_target_, wanted_why_, now);
   if (pending_.empty()) return {};
-  // Not counted from the oldest message: newer ones take the places of those of their kind.
+  // Not measured from the oldest message, because newer messages replace older ones of their kind.
   const bool silent = unanswered_since_ && now - *unanswered_since_ > answer_timeout_;
   if (silent) {
     unresponsive_at_[target_] = now;
@@ -160,7 +160,7 @@
   return SendPending(now, Duration::zero());
 }
 
-/// Sends what was not sent for `unsent_for`, all of it when that is zero.
+/// Sends the pending messages that were last sent at least `unsent_for` ago; all of them for zero.
 std::vector<LeaderSend> LeaderTracker::SendPending(Instant now, Duration unsent_for) {
   std::vector<LeaderSend> sends;
   if (!connected_[target_]) {
--- a/src/protocol/leader_tracker.h
+++ b/src/protocol/leader_tracker.h
@@ -1,6 +1,6 @@
 /// @file
-/// Decides to which control process a router sends, and what it sends again. A deterministic state
-/// machine; RouterControlClient drives it.
+/// Selects the control process to which a router sends, and the messages to resend. A deterministic
+/// state machine, driven by RouterControlClient.
 #pragma once
 
 #include <cstdint>
@@ -16,43 +16,44 @@
 
 namespace graniteseam::protocol {
 
-/// Where to send what.
+/// A message and the address to send it to.
 struct LeaderSend {
   std::string address;
   control::RouterToControl message;
 };
 
-/// The tracker turned to another process.
+/// A switch of the target to another control process.
 struct LeaderSwitch {
   std::string from;
   std::string to;
   std::string_view why;  ///< "connected", "disconnected", "silent", "not_leader".
 };
 
-/// Not thread safe; `now` never goes back.
+/// Tracks the presumed leader and the unanswered messages. Not thread safe; `now` must never
+/// decrease.
 class LeaderTracker {
  public:
-  /// @param answer_timeout how long a message may stay unanswered before the next process is tried.
+  /// @param answer_timeout time without an answer after which the next process is tried.
   LeaderTracker(std::vector<std::string> addresses, Duration answer_timeout);
 
-  /// All addresses to keep a connection to; grows with hints.
+  /// All addresses to stay connected to; leader hints may add some.
   const std::vector<std::string>& addresses() const { return addresses_; }
   void AddAddress(const std::string& address) { IndexOf(address); }
-  /// The process believed to lead.
+  /// The presumed leader.
   const std::string& target() const { return addresses_[target_]; }
 
   std::vector<LeaderSend> OnSend(control::RouterToControl message, Instant now);
   std::vector<LeaderSend> OnConnected(const std::string& address, Instant now);
   std::vector<LeaderSend> OnDisconnected(const std::string& address, Instant now);
-  /// Takes a renewal's or a journal batch's answer.
+  /// Processes an answer and drops the message that it answers.
   void OnAnswered(const std::string& address, const control::ControlToRouter& answer);
   std::vector<LeaderSend> OnNotLeader(const std::string& address,
                                       const control::NotLeaderAnswer& answer, Instant now);
-  /// Turns away from a silent process; forgets what is too old. Call it a few times a silence
-  /// limit.
+  /// Switches away from an unresponsive process and drops expired messages. Must be called several
+  /// times per answer timeout.
   std::vector<LeaderSend> Tick(Instant now);
 
-  /// The turns since the last call.
+  /// Returns the switches since the last call.
   std::vector<LeaderSwitch> TakeSwitches() { return std::exchange(switches_, {}); }
 
  private:
@@ -65,7 +66,7 @@
   std::size_t IndexOf(const std::string& address);
   bool RecentlyUnresponsive(std::size_t index, Instant now) const;
   std::size_t NextConnected() const;
-  /// Makes `target` the one to send to, now or at the next tick that allows a turn.
+  /// Makes `target` the target, now or at the first tick after `next_switch_`.
   std::vector<LeaderSend> SwitchTo(std::size_t target, std::string_view why, Instant now);
   std::vector<LeaderSend> SendPending(Instant now, Duration unsent_for);
   LeaderSend SendOne(Pending& pending, Instant now);
@@ -74,17 +75,17 @@
   std::vector<std::string> addresses_;
   std::vector<bool> connected_;
   std::vector<std::optional<Instant>>
-      unresponsive_at_;  ///< When each was last found silent, or lost.
+      unresponsive_at_;  ///< When each last timed out or was disconnected.
   Duration answer_timeout_;
   std::size_t target_ = 0;
-  std::optional<std::size_t> wanted_target_;  ///< A turn that waits for `next_switch_`.
+  std::optional<std::size_t> wanted_target_;  ///< A switch that waits for `next_switch_`.
   std::string_view wanted_why_;
-  Instant next_switch_;       ///< Bounds how often targets change.
+  Instant next_switch_;       ///< Earliest time of the next switch.
   Duration switch_interval_;  ///< Grows until a leader answers.
-  /// Since when the target left everything unanswered, also for want of a connection.
+  /// Since when the target has not answered, including for lack of a connection.
   std::optional<Instant> unanswered_since_;
   std::deque<Pending> pending_;
-  std::vector<LeaderSwitch> switches_;  ///< Since they were taken, the first ones.
+  std::vector<LeaderSwitch> switches_;  ///< The first ones since the last TakeSwitches().
 };
 
 }  // namespace graniteseam::protocol
--- a/src/protocol/peer_transport.cc
+++ b/src/protocol/peer_transport.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-/// Runs on the event loop's thread, save Load().
+/// All members except Load() run on the event loop's thread.
 class PeerTransport::Impl : public std::enable_shared_from_this<PeerTransport::Impl> {
  public:
   Impl(const PeerTransportOptions& options, runtime::EventLoop& loop,
@@ -38,7 +38,7 @@
     Peer* const peer = FindOrDial(message.to.address);
     if (peer == nullptr) return;
     peer->last_sent = now;
-    // The receiver knows its own address and zone; heartbeats are many.
+    // The receiver has its own address and zone; omitting them keeps the frequent heartbeats small.
     consensus::PeerMessage sent = message;
     sent.to.address.clear();
     sent.to.zone.value.clear();
@@ -86,7 +86,7 @@
   handlers.on_connected = [] {};
   handlers.on_disconnected = [] {};
   handlers.on_message = [](const std::string& /*payload*/) {
-    return Error{ErrorKind::kMalformedMessage, "A peer's answer came on a connection for sending.",
+    return Error{ErrorKind::kMalformedMessage, "A peer sent a message on a send-only connection.",
                  "Run the same release everywhere."};
   };
   auto dialer = std::make_shared<Dialer>(loop_.context(), std::get<runtime::SocketAddress>(parsed),
--- a/src/protocol/peer_transport.h
+++ b/src/protocol/peer_transport.h
@@ -1,5 +1,5 @@
 /// @file
-/// Sends messages to control peers, over one dialled connection a peer.
+/// Sends messages to control peers, over one dialled connection per peer.
 #pragma once
 
 #include <memory>
@@ -14,17 +14,19 @@
 
 namespace graniteseam::protocol {
 
+/// Settings of the peer transport.
 struct PeerTransportOptions {
   std::string name;        ///< This process's id.
-  ServedAddresses served;  ///< Where this process is reached; peers pass it on.
+  ServedAddresses served;  ///< External addresses of this process; peers pass them on.
   InternalSecurity security;
 };
 
-/// Best effort, as consensus expects: a message is dropped when its peer is not connected or its
-/// queue is full, and never delivered twice or out of order within one connection.
+/// Best-effort delivery, as consensus expects: a message is dropped when its peer is not connected
+/// or its queue is full, and never delivered twice or out of order within one connection.
 ///
 /// Lifecycle: Load() once before the first Send(); stop the event loop before destruction. Send()
-/// is thread safe. A peer that is not sent to for a minute, as after its removal, is hung up on.
+/// is thread safe. The connection to a peer without sends for one minute, as after its removal, is
+/// closed.
 class PeerTransport {
  public:
   PeerTransport(const PeerTransportOptions& options, runtime::EventLoop& loop,
@@ -34,14 +36,14 @@
   PeerTransport& operator=(const PeerTransport&) = delete;
 
   /// Reads the secret file.
-  /// @return kInvalidSettings when it is wrong.
+  /// @return kInvalidSettings when it is invalid.
   Result<void> Load();
 
-  /// Dials a peer that will be sent to: what is sent before its connection stands is dropped, and a
-  /// first vote request that is dropped costs a whole election timeout.
+  /// Dials a peer ahead of the first send: messages sent before the connection is ready are
+  /// dropped, and a dropped first vote request costs a whole election timeout.
   void Connect(const std::string& address);
 
-  /// Sends to `message.to.address`; dials it when this is the first message to it.
+  /// Sends to `message.to.address`; dials it first if there is no connection yet.
   void Send(consensus::PeerMessage message);
 
  private:
--- a/src/protocol/router_control_client.cc
+++ b/src/protocol/router_control_client.cc
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-/// Runs on its own event loop's thread, save construction and destruction.
+/// All members except constructor and destructor run on the client's own event loop thread.
 class RouterControlClient::Impl {
  public:
   Impl(RouterControlClientOptions options, runtime::MetricsRegistry& registry,
@@ -42,7 +42,8 @@
   void SetStateVersion(std::uint64_t version) { version_ = version; }
 
  private:
-  /// @param ends whether it is to bring no more, and not to begin.
+  /// Requests the start of the state feed, or its end.
+  /// @param ends whether to end the feed.
   void SendFeedRequest(bool ends);
   void Dial(const std::string& address);
   void DialNewAddresses();
@@ -64,9 +65,9 @@
   LeaderTracker tracker_;
   std::map<std::string, std::shared_ptr<Dialer>> dialers_;
   std::size_t connected_ = 0;
-  std::string feed_;  ///< From which the state is taken; empty for none.
+  std::string feed_;  ///< Address of the state feed; empty for none.
   std::uint64_t feed_requests_ = 0;
-  std::atomic<std::uint64_t> version_{0};  ///< Of the state that the router has.
+  std::atomic<std::uint64_t> version_{0};  ///< Version of the router's state.
   asio::steady_timer tick_{loop_.context()};
 };
 
@@ -91,7 +92,7 @@
 }
 
 RouterControlClient::Impl::~Impl() {
-  // What is under way refers to this object: the loop must stand still first.
+  // Pending operations refer to this object, so the loop must be stopped first.
   loop_.Stop();
   for (const auto& [address, dialer] : dialers_) {
     if (dialer) dialer->Stop();
@@ -114,7 +115,7 @@
 void RouterControlClient::Impl::SubscribeToState(const std::string& address) {
   asio::post(loop_.context(), [this, address] {
     if (feed_ == address) return;
-    // Otherwise both would bring every change.
+    // Ends the old feed; otherwise both would send every change.
     SendFeedRequest(true);
     feed_ = address;
     tracker_.AddAddress(address);
@@ -130,7 +131,7 @@
   found->second->Send(codec::Encode(control::RouterToControl(request)));
 }
 
-/// Dials the addresses that hints brought.
+/// Dials addresses without a dialer, such as those from leader hints.
 void RouterControlClient::Impl::DialNewAddresses() {
   for (const std::string& address : tracker_.addresses()) {
     if (!dialers_.contains(address)) Dial(address);
--- a/src/protocol/router_control_client.h
+++ b/src/protocol/router_control_client.h
@@ -1,6 +1,6 @@
 /// @file
-/// A router's line to the control group: connected to every control process it knows, it sends to
-/// the one that leads, follows NotLeader answers and turns away from a leader that went silent.
+/// A router's client of the control group: it is connected to every known control process, sends to
+/// the leader, follows NotLeader answers and switches away from an unresponsive leader.
 #pragma once
 
 #include <cstdint>
@@ -19,36 +19,37 @@
 
 namespace graniteseam::protocol {
 
+/// Settings of a control client.
 struct RouterControlClientOptions {
   RouterId router;
-  std::vector<runtime::SocketAddress> control;  ///< From the settings; leaders' hints may add more.
+  std::vector<runtime::SocketAddress> control;  ///< From the settings; leader hints may add more.
   InternalSecurity security;
-  /// A control process that leaves a message unanswered for longer is taken for silent, and the
-  /// message goes to the next one. Shorter than half the router's lease.
+  /// A control process that does not answer within this time counts as unresponsive, and the
+  /// message is sent to the next one. Must be shorter than half the router's lease.
   Duration answer_timeout{250'000};
 };
 
-/// Sends what the router's decision maker wants sent and hands back the answers.
+/// Sends the control messages of the router's decision logic and returns the answers.
 ///
-/// A message that was not answered is sent again to the next control process by itself; its
-/// sequence stays, so the router's lease is dated from the first send, which is the safe side, and
-/// claims are recognised by their claim number. An answer may therefore come twice: take the
-/// first. Unanswered messages are forgotten after ten silence limits; the decision maker asks
-/// anew then.
+/// An unanswered message is automatically sent again to the next control process with the same
+/// sequence, so that the router's lease counts from the first send, which is the safe side, and
+/// claims are identified by their claim number. An answer may therefore arrive twice: use the
+/// first. Unanswered messages are dropped after ten answer timeouts; the decision logic then sends
+/// a new request.
 ///
-/// Lifecycle: construction connects in the background; destruction closes. Send() is thread safe;
-/// the handlers run on the client's own thread and must not block.
+/// Lifecycle: the constructor connects in the background; the destructor closes. Send() is thread
+/// safe; the handlers run on the client's own thread and must not block.
 class RouterControlClient {
  public:
-  /// Answers other than NotLeader, which the client follows by itself.
+  /// Receives all answers except NotLeader, which the client handles itself.
   using AnswerHandler = std::function<void(const control::ControlToRouter& answer)>;
-  /// Called with true when the first connection stands and false when the last one went.
+  /// Called with true when the first connection is ready and with false when the last one is lost.
   using ConnectedHandler = std::function<void(bool connected)>;
 
-  /// Called when there is no connection to the process from which the state is taken.
+  /// Called when the connection to the process that feeds the state is lost.
   using FeedLostHandler = std::function<void()>;
 
-  /// Called for each turn to another control process.
+  /// Called for each switch to another control process.
   using LeaderSwitchHandler = std::function<void(const LeaderSwitch& turn)>;
 
   RouterControlClient(RouterControlClientOptions options, runtime::MetricsRegistry& metrics,
@@ -58,16 +59,16 @@
   RouterControlClient(const RouterControlClient&) = delete;
   RouterControlClient& operator=(const RouterControlClient&) = delete;
 
-  /// Sends to the process believed to lead, or as soon as a connection stands.
+  /// Sends to the presumed leader, or as soon as a connection is ready.
   void Send(control::RouterToControl message);
 
-  /// Takes the state from this control process ("ip:port") from now on, and from no other: asks it
-  /// anew each time that a connection to it stands. The same again changes nothing.
+  /// Subscribes to the state from this control process ("ip:port") and ends any other subscription.
+  /// The request is repeated on each new connection to it. Repeated calls have no effect.
   void SubscribeToState(const std::string& address);
-  /// The version of the state that the router has, for the next time that it asks.
+  /// Sets the version of the router's state, for the next subscription request.
   void SetStateVersion(std::uint64_t version);
 
-  /// Adds control processes ("ip:port") to those that it knows.
+  /// Adds control processes ("ip:port") to connect to.
   void AddControl(std::vector<std::string> addresses);
 
  private:
