--- a/include/graniteseam/routing/request_state.h
+++ b/include/graniteseam/routing/request_state.h
@@ -96,7 +96,8 @@
   Decision Retry(const AttemptResult& result, RetryBudget& budget, double jitter, Instant now);
   Duration BackOff(double jitter);
   Instant HoldUntil(Instant now);
-  static Decision GivingUp(ErrorKind reason, std::optional<Duration> retry_after = std::nullopt);
+  static Decision GiveUpDecision(ErrorKind reason,
+                                 std::optional<Duration> retry_after = std::nullopt);
 
   RequestTraits traits_;
   RetryOptions options_;
--- a/src/protocol/internal_server.cc
+++ b/src/protocol/internal_server.cc
@@ -26,7 +26,7 @@
         tls_(options_.security),
         handlers_(std::move(handlers)),
         acceptor_(loop.context()),
-        watch_(loop.context()) {}
+        liveness_timer_(loop.context()) {}
 
   Result<void> Start();
   void Accept();
@@ -56,7 +56,7 @@
   InternalTls tls_;
   Handlers handlers_;
   asio::ip::tcp::acceptor acceptor_;
-  asio::steady_timer watch_;
+  asio::steady_timer liveness_timer_;
   std::uint16_t port_ = 0;
   std::map<RouterConnectionId, Client> clients_;
   RouterConnectionId next_id_ = 1;
@@ -86,8 +86,8 @@
 }
 
 void InternalServer::Impl::ScheduleLivenessCheck() {
-  watch_.expires_after(kLivenessCheckInterval);
-  watch_.async_wait([self = shared_from_this()](auto error) {
+  liveness_timer_.expires_after(kLivenessCheckInterval);
+  liveness_timer_.async_wait([self = shared_from_this()](auto error) {
     if (error) return;
     for (const auto& [id, client] : self->clients_) client.connection->CheckLiveness();
     self->ScheduleLivenessCheck();
@@ -173,7 +173,7 @@
 void InternalServer::Impl::Disconnect() {
   boost::system::error_code ignored;
   acceptor_.close(ignored);
-  watch_.cancel();
+  liveness_timer_.cancel();
   for (auto& [id, client] : clients_) client.connection->Close();
 }
 
--- a/src/routing/journal_batcher.cc
+++ b/src/routing/journal_batcher.cc
@@ -26,7 +26,7 @@
   unsent_completions_.push_back(std::move(completion));
 }
 
-std::vector<control::JournalRequest> JournalBatcher::Due(Instant now) {
+std::vector<control::JournalRequest> JournalBatcher::TakeDue(Instant now) {
   std::vector<control::JournalRequest> due;
   for (auto& [sequence, batch] : in_flight_) {
     if (!batch.resend && now - batch.sent_at < kResendAfter) continue;
--- a/src/routing/journal_batcher.h
+++ b/src/routing/journal_batcher.h
@@ -31,9 +31,10 @@
   void AbandonClaim(std::uint64_t claim);
   void AddCompletion(control::Completion completion);
 
-  /// Returns the batches to send now: new ones, and those unanswered for kResendAfter.
-  std::vector<control::JournalRequest> Due(Instant now);
-  /// The time of the next Due() call if no event occurs earlier.
+  /// Marks as sent and returns the batches that are due: new ones, and those unanswered for
+  /// kResendAfter.
+  std::vector<control::JournalRequest> TakeDue(Instant now);
+  /// The time of the next TakeDue() call if no event occurs earlier.
   std::optional<Instant> NextDue() const;
   /// Marks all unanswered batches to be sent again, after a new connection or leader.
   void Resend();
--- a/src/routing/live_request.h
+++ b/src/routing/live_request.h
@@ -40,7 +40,7 @@
   Phase phase = Phase::kNew;
   std::uint32_t shard = 0;
   admission::Lane lane = 0;          ///< In which it is queued.
-  bool has_place = false;            ///< Whether it holds a slot of the group's limit.
+  bool has_group_slot = false;       ///< Whether it holds a slot of the group's limit.
   std::optional<ServerId> reserved;  ///< Server with a reserved slot for the next attempt.
   std::optional<std::uint64_t> claim;
   bool claimed = false;
--- a/src/routing/problem.cc
+++ b/src/routing/problem.cc
@@ -32,7 +32,7 @@
   }
 }
 
-Error GivenUp(ErrorKind reason, RequestOutcome outcome) {
+Error GiveUpError(ErrorKind reason, RequestOutcome outcome) {
   if (outcome == RequestOutcome::kOutcomeUnknown) {
     return {ErrorKind::kOutcomeUnknown,
             "The request was sent to a server and no whole answer came back; it may have run.",
--- a/src/routing/problem.h
+++ b/src/routing/problem.h
@@ -13,7 +13,7 @@
 int StatusOf(ErrorKind kind, RequestOutcome outcome);
 
 /// The error for a request that the router gave up for `reason`.
-Error GivenUp(ErrorKind reason, RequestOutcome outcome);
+Error GiveUpError(ErrorKind reason, RequestOutcome outcome);
 
 Error NoLease();
 Error Stopping();
--- a/src/routing/request_ending.cc
+++ b/src/routing/request_ending.cc
@@ -26,9 +26,9 @@
   const bool unknown = answer.outcome == RequestOutcome::kOutcomeUnknown;
   if (unknown && !live.state.may_have_run()) {
     answer.error = JournalNotConsulted(
-        error.message.empty() ? GivenUp(error.kind, RequestOutcome::kNotRun) : error);
+        error.message.empty() ? GiveUpError(error.kind, RequestOutcome::kNotRun) : error);
   } else if (unknown || error.message.empty()) {
-    answer.error = GivenUp(error.kind, answer.outcome);
+    answer.error = GiveUpError(error.kind, answer.outcome);
   } else {
     answer.error = std::move(error);
   }
@@ -89,7 +89,7 @@
   live.flights.clear();
   live.service->limiter().Withdraw(live.caller.number);
   ReleaseReservation(live);
-  ReleasePlace(live, now);
+  ReleaseGroupSlot(live, now);
   SetHeld(live, false);
   ClearTimer(live);
   RecordUsage(live, now);
@@ -97,9 +97,9 @@
   live_.erase(live.caller.number);
 }
 
-void RequestFlow::ReleasePlace(Live& live, Instant now) {
-  if (!live.has_place) return;
-  live.has_place = false;
+void RequestFlow::ReleaseGroupSlot(Live& live, Instant now) {
+  if (!live.has_group_slot) return;
+  live.has_group_slot = false;
   live.service->limiter().Release(live.caller.group, now);
   RecordUsage(live, now);
   DispatchLater(live.service);
--- a/src/routing/request_flow.cc
+++ b/src/routing/request_flow.cc
@@ -32,7 +32,7 @@
     live.shard = ShardOfKey(*request.key, live.service->service().shard_count);
   }
   if (live.state.MaySend(now)) {
-    Place(live, now, effects);
+    OfferToLimiter(live, now, effects);
   } else {
     GiveUp(live, ErrorKind::kDeadlineExceeded, std::nullopt, now, effects);
   }
@@ -81,15 +81,15 @@
       GiveUp(live, decision.reason, decision.retry_after, now, effects);
       return;
     case Step::kSendAgain:
-      ReleasePlace(live, now);
-      Place(live, now, effects);
+      ReleaseGroupSlot(live, now);
+      OfferToLimiter(live, now, effects);
       return;
     case Step::kBackOff:
     case Step::kHold:
       // Other requests may use the slot during the wait.
-      ReleasePlace(live, now);
+      ReleaseGroupSlot(live, now);
       SetHeld(live, true);
-      Wait(live, decision.at);
+      SetTimer(live, decision.at);
       return;
   }
 }
@@ -137,7 +137,7 @@
       continue;
     }
     live.service->limiter().Withdraw(number);
-    Place(live, now, effects);
+    OfferToLimiter(live, now, effects);
   }
   DispatchAll(now, effects);
 }
@@ -151,9 +151,9 @@
     may_send = live.state.OnSuperseded(now);
   }
   live.flights.clear();
-  ReleasePlace(live, now);
+  ReleaseGroupSlot(live, now);
   if (may_send) {
-    Place(live, now, effects);
+    OfferToLimiter(live, now, effects);
   } else {
     GiveUp(live, ErrorKind::kDeadlineExceeded, std::nullopt, now, effects);
   }
@@ -178,7 +178,7 @@
              now, effects);
       return;
     case Live::Phase::kHeld:
-      Place(live, now, effects);
+      OfferToLimiter(live, now, effects);
       return;
     case Live::Phase::kClaiming:
       GiveUp(live, JournalTimedOut(), std::nullopt, now, effects);
@@ -197,7 +197,7 @@
   return dispatch_at_ ? std::min(*dispatch_at_, timer) : timer;
 }
 
-void RequestFlow::Wait(Live& live, Instant until) {
+void RequestFlow::SetTimer(Live& live, Instant until) {
   ClearTimer(live);
   live.timer = until;
   timers_.emplace(until, live.caller.number);
--- a/src/routing/request_flow.h
+++ b/src/routing/request_flow.h
@@ -63,12 +63,12 @@
   struct Live;
   struct Flight;
 
-  void Place(Live& live, Instant now, RouterEffects& effects);
+  void OfferToLimiter(Live& live, Instant now, RouterEffects& effects);
   void OnAdmitted(Live& live, Instant now, RouterEffects& effects);
   std::optional<ServerId> ChooseServer(Live& live, Instant now);
   void Claim(Live& live, Instant now);
   void SendReserved(Live& live, Instant now, RouterEffects& effects);
-  bool ReservationHolds(const Live& live, Instant now) const;
+  bool ReservationValid(const Live& live, Instant now) const;
   void Send(Live& live, Instant now, RouterEffects& effects);
   void Hedge(Live& live, Instant now, RouterEffects& effects);
   void Hold(Live& live, Instant now, RouterEffects& effects);
@@ -86,10 +86,10 @@
   void Complete(const Live& live, const RequestAnswer& answer);
   void End(Live& live, Instant now, RouterEffects& effects);
 
-  void Wait(Live& live, Instant until);
+  void SetTimer(Live& live, Instant until);
   void ClearTimer(Live& live);
   void SetHeld(Live& live, bool held);
-  void ReleasePlace(Live& live, Instant now);
+  void ReleaseGroupSlot(Live& live, Instant now);
   void ReleaseReservation(Live& live);
   void RecordUsage(Live& live, Instant now);
   void DispatchLater(const std::shared_ptr<ServiceRouter>& service);
--- a/src/routing/request_sending.cc
+++ b/src/routing/request_sending.cc
@@ -8,7 +8,7 @@
 
 namespace graniteseam::routing {
 
-void RequestFlow::Place(Live& live, Instant now, RouterEffects& effects) {
+void RequestFlow::OfferToLimiter(Live& live, Instant now, RouterEffects& effects) {
   SetHeld(live, false);
   ClearTimer(live);
   ServiceRouter& service = *live.service;
@@ -34,7 +34,7 @@
       return;
     case admission::Verdict::kQueued:
       live.phase = Live::Phase::kQueued;
-      Wait(live, offer.give_up_at);
+      SetTimer(live, offer.give_up_at);
       RecordUsage(live, now);
       return;
     case admission::Verdict::kRefused:
@@ -45,11 +45,11 @@
 
 void RequestFlow::OnAdmitted(Live& live, Instant now, RouterEffects& effects) {
   ClearTimer(live);
-  live.has_place = true;
+  live.has_group_slot = true;
   RecordUsage(live, now);
   const std::optional<ServerId> server = ChooseServer(live, now);
   if (!server) {
-    ReleasePlace(live, now);
+    ReleaseGroupSlot(live, now);
     Hold(live, now, effects);
     return;
   }
@@ -79,7 +79,7 @@
   claims_[*live.claim] = live.caller.number;
   journal_.AddClaim({*live.caller.operation, live.caller.service, live.caller.group,
                      live.caller.request_digest, *live.claim});
-  Wait(live, live.state.HoldDeadline(now));
+  SetTimer(live, live.state.HoldDeadline(now));
 }
 
 void RequestFlow::OnClaimResult(const control::ClaimResult& result, Instant now,
@@ -122,16 +122,16 @@
     GiveUp(live, ErrorKind::kDeadlineExceeded, std::nullopt, now, effects);
     return;
   }
-  if (!ReservationHolds(live, now)) {
+  if (!ReservationValid(live, now)) {
     ReleaseReservation(live);
-    ReleasePlace(live, now);
-    Place(live, now, effects);
+    ReleaseGroupSlot(live, now);
+    OfferToLimiter(live, now, effects);
     return;
   }
   Send(live, now, effects);
 }
 
-bool RequestFlow::ReservationHolds(const Live& live, Instant now) const {
+bool RequestFlow::ReservationValid(const Live& live, Instant now) const {
   if (!live.service->keyed()) return live.service->selector().AcceptsNewWork(*live.reserved);
   const Route& route = table_.Find(live.service->service().name, live.shard);
   return route.state == control::ShardState::kAssigned && route.owner == *live.reserved &&
@@ -170,7 +170,7 @@
   live.flights.push_back(std::move(flight));
   if (send.hedged && live.flights.size() == 1) {
     if (const std::optional<Duration> slow = service.selector().SlowAnswerThreshold()) {
-      Wait(live, now + *slow);
+      SetTimer(live, now + *slow);
     }
   }
   effects.sends.push_back(std::move(send));
@@ -201,7 +201,7 @@
     return;
   }
   SetHeld(live, true);
-  Wait(live, decision.at);
+  SetTimer(live, decision.at);
   RecordUsage(live, now);
 }
 
--- a/src/routing/request_state.cc
+++ b/src/routing/request_state.cc
@@ -29,11 +29,11 @@
       result.end == AttemptEnd::kBroken && DefectOn(Defect::kNotRunAfterTimeout);
   if (!ProvenNotRun(result.end) && !timed_out_by_defect) {
     may_have_run_ = true;
-    if (!traits_.repeatable) return GivingUp(ErrorKind::kOutcomeUnknown);
+    if (!traits_.repeatable) return GiveUpDecision(ErrorKind::kOutcomeUnknown);
   }
   if (in_flight_ > 0) return {Step::kWait, {}, {}, {}};
   if (result.end == AttemptEnd::kDeadlinePassed || !MaySend(now)) {
-    return GivingUp(ErrorKind::kDeadlineExceeded);
+    return GiveUpDecision(ErrorKind::kDeadlineExceeded);
   }
   return Retry(result, budget, jitter, now);
 }
@@ -50,14 +50,15 @@
   const ErrorKind reason =
       result.end == AttemptEnd::kShed ? ErrorKind::kOverloaded : ErrorKind::kUnavailable;
   if (retries_ >= options_.retries_maximum || !budget.TryTake()) {
-    return GivingUp(reason, result.retry_after);
+    return GiveUpDecision(reason, result.retry_after);
   }
   ++retries_;
   if (result.end == AttemptEnd::kNotSent || result.end == AttemptEnd::kNotReady) {
     return {Step::kSendAgain, now, reason, result.retry_after};
   }
   const Instant at = now + BackOff(jitter);
-  if (at + options_.time_left_minimum > deadline_) return GivingUp(reason, result.retry_after);
+  if (at + options_.time_left_minimum > deadline_)
+    return GiveUpDecision(reason, result.retry_after);
   return {Step::kBackOff, at, reason, result.retry_after};
 }
 
@@ -74,7 +75,7 @@
 
 Decision RequestState::Hold(double jitter, Instant now) {
   const Instant until = HoldUntil(now);
-  if (now >= until) return GivingUp(ErrorKind::kUnavailable);
+  if (now >= until) return GiveUpDecision(ErrorKind::kUnavailable);
   return {Step::kHold, std::min(until, now + BackOff(jitter)), ErrorKind::kUnavailable, {}};
 }
 
@@ -106,7 +107,7 @@
   return *hold_until_;
 }
 
-Decision RequestState::GivingUp(ErrorKind reason, std::optional<Duration> retry_after) {
+Decision RequestState::GiveUpDecision(ErrorKind reason, std::optional<Duration> retry_after) {
   return {Step::kGiveUp, {}, reason, retry_after};
 }
 
--- a/src/routing/router_node.cc
+++ b/src/routing/router_node.cc
@@ -142,7 +142,7 @@
     renew_at_ = now;
   }
   if (!awaiting_renewal_since_ && now >= renew_at_) Renew(now, effects);
-  for (control::JournalRequest& request : journal_.Due(now)) {
+  for (control::JournalRequest& request : journal_.TakeDue(now)) {
     effects.control_messages.emplace_back(std::move(request));
   }
 }
--- a/src/routing/server_selector.cc
+++ b/src/routing/server_selector.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// Half of the time within which a draining server must stop getting new requests.
-constexpr Duration kDrainAllowance{1'000'000};
+constexpr Duration kDrainGracePeriod{1'000'000};
 constexpr double kLatencySmoothing = 0.1;
 constexpr double kLatencyUnknownUs = 1'000.0;
 constexpr std::uint64_t kAnswersForEstimate = 32;
@@ -71,7 +71,7 @@
 bool ServerSelector::DrainedForLong(const ServerId& server, Instant now) const {
   const Server* found = Find(server);
   return found != nullptr && !found->accepts_new_work &&
-         now - found->drained_since >= kDrainAllowance;
+         now - found->drained_since >= kDrainGracePeriod;
 }
 
 std::optional<ServerId> ServerSelector::Choose(const std::vector<ServerId>& avoided, Instant now) {
