--- a/include/graniteseam/routing/outlier_detector.h
+++ b/include/graniteseam/routing/outlier_detector.h
@@ -23,8 +23,8 @@
                                           ///< there are two or more.
   Duration ejection{1'000'000};           ///< Multiplied by the number of consecutive ejections.
   Duration ejection_maximum{30'000'000};
-  Duration ejection_reset_after{60'000'000};  ///< Without an ejection for this long, the count of
-  ///< consecutive ejections starts again.
+  /// Time since the end of the last ejection after which consecutive ejections count from 1 again.
+  Duration ejection_reset_after{60'000'000};
 };
 
 /// Ejects outliers from one pool (Envoy's outlier detection is the model).
--- a/include/graniteseam/routing/routing_table.h
+++ b/include/graniteseam/routing/routing_table.h
@@ -36,7 +36,7 @@
   /// Result of Apply().
   enum class Applied {
     kYes,
-    kOld,  ///< Not newer than the held version; nothing changed.
+    kOld,  ///< Older than the held version or made for an older base; nothing changed.
     kGap,  ///< Made for another base version; request a change from the held version.
   };
 
--- a/src/protocol/connection.h
+++ b/src/protocol/connection.h
@@ -144,14 +144,14 @@
   std::size_t queued_bytes_ = 0;   ///< In `waiting_` and `in_flight_`.
   /// Dialling side: a sent frame is unanswered. Accepting side: received data is unanswered.
   bool unanswered_ = false;
-  int silent_checks_ = 0;  ///< CheckLiveness() calls since the unanswered send or the last
-  ///< received data.
+  /// CheckLiveness() calls since the unanswered send or the last received data.
+  int silent_checks_ = 0;
   int idle_checks_ = 0;  ///< CheckLiveness() calls since the last send.
   bool writing_ = false;
   bool ready_ = false;
   bool closed_ = false;
-  std::optional<Error>
-      refused_;  ///< Set once a refusal was queued; sending ends when it is written.
+  /// Set once a refusal was queued; sending ends when the refusal is written.
+  std::optional<Error> refused_;
 };
 
 }  // namespace graniteseam::protocol
--- a/src/routing/problem.cc
+++ b/src/routing/problem.cc
@@ -103,8 +103,8 @@
           "Send a shorter body."};
 }
 
-Error JournalNotConsulted(Error reason) {
-  reason.message += " The journal was not asked whether an earlier send of this operation ran.";
+Error EarlierSendUnknown(Error reason) {
+  reason.message += " Whether an earlier send of this operation ran was not determined.";
   reason.remedy = "Send it again with the same Idempotency-Key after the time in Retry-After.";
   return reason;
 }
--- a/src/routing/problem.h
+++ b/src/routing/problem.h
@@ -26,7 +26,7 @@
 Error BodyTooLarge(std::int64_t bytes_maximum);
 /// For an operation refused before the journal reported whether an earlier send of it ran:
 /// `reason`'s kind and text, extended by the unknown outcome.
-Error JournalNotConsulted(Error reason);
+Error EarlierSendUnknown(Error reason);
 /// The journal did not answer a claim in time; no attempt was sent.
 Error JournalTimedOut();
 /// For a claim's verdict other than kClaimed and kAnswered with an answer.
--- a/src/routing/request_ending.cc
+++ b/src/routing/request_ending.cc
@@ -25,7 +25,7 @@
   answer.outcome = OutcomeOfGivingUp(live);
   const bool unknown = answer.outcome == RequestOutcome::kOutcomeUnknown;
   if (unknown && !live.state.may_have_run()) {
-    answer.error = JournalNotConsulted(
+    answer.error = EarlierSendUnknown(
         error.message.empty() ? GiveUpError(error.kind, RequestOutcome::kNotRun) : error);
   } else if (unknown || error.message.empty()) {
     answer.error = GiveUpError(error.kind, answer.outcome);
--- a/src/routing/router_node.cc
+++ b/src/routing/router_node.cc
@@ -117,7 +117,7 @@
   // An earlier send of the operation may have run; this router has no record of its outcome.
   const bool may_be_resend = request.operation.has_value() && !Repeatable(request.service);
   answer.outcome = may_be_resend ? RequestOutcome::kOutcomeUnknown : RequestOutcome::kNotRun;
-  answer.error = may_be_resend ? JournalNotConsulted(std::move(error)) : std::move(error);
+  answer.error = may_be_resend ? EarlierSendUnknown(std::move(error)) : std::move(error);
   answer.status = StatusOf(answer.error.kind, answer.outcome);
   answer.retry_after = retry_after;
   effects.answers.push_back(std::move(answer));
