--- a/src/routing/concurrency_window.cc
+++ b/src/routing/concurrency_window.cc
@@ -9,13 +9,13 @@
 constexpr double kInitialSize = 4.0;
 constexpr double kDecrease = 0.8;
 constexpr int kLatencySmoothing = 8;
-/// From this part of the size at which the server last shed, growth is slow...
+/// Growth is slow from this fraction of the size at which the server last shed.
 constexpr double kNearShedSize = 0.75;
-/// ...by this factor...
+/// Factor of slow growth.
 constexpr double kSlowGrowth = 1.0 / 16.0;
-/// ...unless the last shed is this long ago.
-constexpr Duration kShedForgotten{2'000'000};
-/// With no more than this many in flight, a shed means that the server wants no work at all.
+/// Time since the last shed after which growth is no longer slow.
+constexpr Duration kSlowGrowthPeriod{2'000'000};
+/// A shed with at most this many requests in flight means that the server accepts no work at all.
 constexpr std::uint32_t kAlmostIdle = 1;
 constexpr Duration kPauseFirst{20'000};
 constexpr Duration kPauseMaximum{500'000};
@@ -30,20 +30,20 @@
   size_ = std::min(size_, maximum_);
 }
 
-std::uint32_t ConcurrencyWindow::Room(Instant now) const {
+std::uint32_t ConcurrencyWindow::AvailableSlots(Instant now) const {
   if (now < paused_until_) return 0;
   const auto places = static_cast<std::uint32_t>(size_);
   return places > in_flight_ ? places - in_flight_ : 0;
 }
 
 void ConcurrencyWindow::OnAnswered(Duration latency, Instant now) {
-  // A window that is not in use says nothing about the server's capacity.
+  // Answers while the window is mostly unused give no evidence of the server's capacity.
   const bool in_use = static_cast<double>(in_flight_) >= size_ * 0.5;
   if (in_use) size_ = std::min(maximum_, size_ + Growth(now));
   pause_ = Duration{0};
   paused_until_ = Instant{};
   latency_ += (latency - latency_) / kLatencySmoothing;
-  Leave();
+  ReleaseSlot();
 }
 
 void ConcurrencyWindow::OnShed(Instant now) {
@@ -54,14 +54,14 @@
     size_ = std::max(1.0, shed_size_ * kDecrease);
     shrunk_at_ = now;
   }
-  Leave();
+  ReleaseSlot();
 }
 
-void ConcurrencyWindow::OnEnded() { Leave(); }
+void ConcurrencyWindow::OnEnded() { ReleaseSlot(); }
 
 double ConcurrencyWindow::Growth(Instant now) const {
   if (!has_shed_) return 1.0;
-  const bool near = size_ >= shed_size_ * kNearShedSize && now - shrunk_at_ < kShedForgotten;
+  const bool near = size_ >= shed_size_ * kNearShedSize && now - shrunk_at_ < kSlowGrowthPeriod;
   return (near ? kSlowGrowth : 1.0) / size_;
 }
 
@@ -71,7 +71,7 @@
   paused_until_ = now + pause_;
 }
 
-void ConcurrencyWindow::Leave() {
+void ConcurrencyWindow::ReleaseSlot() {
   if (in_flight_ > 0) --in_flight_;
 }
 
--- a/src/routing/request_ending.cc
+++ b/src/routing/request_ending.cc
@@ -1,4 +1,4 @@
-// The part of RequestFlow that ends requests and hands on the places they held.
+// RequestFlow: ends requests and dispatches queued ones to the slots that become free.
 #include <algorithm>
 #include <utility>
 
@@ -25,10 +25,10 @@
   answer.outcome = OutcomeOfGivingUp(live);
   const bool unknown = answer.outcome == RequestOutcome::kOutcomeUnknown;
   if (unknown && !live.state.may_have_run()) {
-    answer.error = NotAskedJournal(
-        error.message.empty() ? GivenUp(error.kind, RequestOutcome::kNotRun) : error);
+    answer.error = EarlierSendUnknown(
+        error.message.empty() ? GiveUpError(error.kind, RequestOutcome::kNotRun) : error);
   } else if (unknown || error.message.empty()) {
-    answer.error = GivenUp(error.kind, answer.outcome);
+    answer.error = GiveUpError(error.kind, answer.outcome);
   } else {
     answer.error = std::move(error);
   }
@@ -39,8 +39,8 @@
 
 RequestOutcome RequestFlow::OutcomeOfGivingUp(Live& live) const {
   const RequestOutcome outcome = live.state.GiveUp();
-  // An earlier sending of the same operation may have run, perhaps through another router. Only a
-  // claim that the journal gave to this request proves that none did.
+  // An earlier send of the same operation may have run, perhaps through another router. Only a
+  // claim that the journal granted to this request proves that none did.
   const bool journal_asked = live.service->service().repeatable || live.claimed;
   if (outcome == RequestOutcome::kNotRun && !journal_asked) return RequestOutcome::kOutcomeUnknown;
   return outcome;
@@ -56,7 +56,7 @@
 void RequestFlow::Complete(const Live& live, const RequestAnswer& answer) {
   if (!live.claim) return;
   if (!live.claimed) {
-    // Nothing was sent under the claim, and nothing will be.
+    // No attempt was sent under the claim, and none will be.
     journal_.AbandonClaim(*live.claim);
     claims_.erase(*live.claim);
     return;
@@ -89,19 +89,19 @@
   live.flights.clear();
   live.service->limiter().Withdraw(live.caller.number);
   ReleaseReservation(live);
-  ReleasePlace(live, now);
+  ReleaseGroupSlot(live, now);
   SetHeld(live, false);
   ClearTimer(live);
-  NoteUse(live, now);
+  RecordUsage(live, now);
   DispatchLater(live.service);
   live_.erase(live.caller.number);
 }
 
-void RequestFlow::ReleasePlace(Live& live, Instant now) {
-  if (!live.has_place) return;
-  live.has_place = false;
+void RequestFlow::ReleaseGroupSlot(Live& live, Instant now) {
+  if (!live.has_group_slot) return;
+  live.has_group_slot = false;
   live.service->limiter().Release(live.caller.group, now);
-  NoteUse(live, now);
+  RecordUsage(live, now);
   DispatchLater(live.service);
 }
 
@@ -127,18 +127,18 @@
 void RequestFlow::Dispatch(Instant now, RouterEffects& effects) {
   if (dispatching_) return;
   dispatching_ = true;
-  // A request that is admitted may end at once and free its place for the next one.
+  // An admitted request may end at once and free its slot for the next one.
   while (!to_dispatch_.empty()) {
     const std::shared_ptr<ServiceRouter> service = std::move(to_dispatch_.front());
     to_dispatch_.pop_front();
     if (service->limiter().QueuedTotal() == 0) continue;
     for (const admission::Lane lane : service->limiter().WaitingLanes()) {
       for (const RequestNumber number :
-           service->limiter().Dispatch(lane, service->RoomInLane(lane, now))) {
-        Admitted(*live_.at(number), now, effects);
+           service->limiter().Dispatch(lane, service->AvailableSlotsInLane(lane, now))) {
+        OnAdmitted(*live_.at(number), now, effects);
       }
     }
-    // Ejections and pauses of servers end by time, without an event.
+    // Ejections and pauses of servers expire without an event.
     const bool waiting = service->limiter().QueuedTotal() > 0;
     if (waiting && !dispatch_at_) dispatch_at_ = now + kDispatchInterval;
   }
--- a/src/routing/request_flow.cc
+++ b/src/routing/request_flow.cc
@@ -32,7 +32,7 @@
     live.shard = ShardOfKey(*request.key, live.service->service().shard_count);
   }
   if (live.state.MaySend(now)) {
-    Place(live, now, effects);
+    OfferToLimiter(live, now, effects);
   } else {
     GiveUp(live, ErrorKind::kDeadlineExceeded, std::nullopt, now, effects);
   }
@@ -41,18 +41,18 @@
 
 void RequestFlow::OnAttemptEnd(const AttemptResult& result, Instant now, RouterEffects& effects) {
   const auto found = live_.find(result.request);
-  if (found == live_.end()) return;  // Ended meanwhile; a late answer is nobody's.
+  if (found == live_.end()) return;  // Already answered: ignore the late end.
   Live& live = *found->second;
   const auto flight =
       std::find_if(live.flights.begin(), live.flights.end(),
                    [&](const Flight& candidate) { return candidate.number == result.attempt; });
-  if (flight == live.flights.end()) return;  // Cancelled meanwhile.
+  if (flight == live.flights.end()) return;  // Already cancelled.
   const Flight ended = *flight;
   live.flights.erase(flight);
   ServiceRouter& service = *live.service;
   service.selector().OnEnd(ended.server, result.end, result.status, now - ended.sent_at, now);
   if (service.keyed() && result.end == AttemptEnd::kAnswered) {
-    service.NoteShardLoad(live.shard, now - ended.sent_at);
+    service.RecordShardLoad(live.shard, now - ended.sent_at);
   }
   if (result.end != AttemptEnd::kAnswered) {
     live.avoided.push_back(ended.server);
@@ -81,15 +81,15 @@
       GiveUp(live, decision.reason, decision.retry_after, now, effects);
       return;
     case Step::kSendAgain:
-      ReleasePlace(live, now);
-      Place(live, now, effects);
+      ReleaseGroupSlot(live, now);
+      OfferToLimiter(live, now, effects);
       return;
     case Step::kBackOff:
     case Step::kHold:
-      // Others may use the place meanwhile.
-      ReleasePlace(live, now);
+      // Other requests may use the slot during the wait.
+      ReleaseGroupSlot(live, now);
       SetHeld(live, true);
-      Wait(live, decision.at);
+      SetTimer(live, decision.at);
       return;
   }
 }
@@ -123,7 +123,7 @@
         if (usable && newer && live->service->service().repeatable) affected.push_back(number);
         break;
       case Live::Phase::kNew:
-      case Live::Phase::kClaiming:  // Looks at the route again before it sends.
+      case Live::Phase::kClaiming:  // Checks the route again before sending.
         break;
     }
   }
@@ -137,13 +137,13 @@
       continue;
     }
     live.service->limiter().Withdraw(number);
-    Place(live, now, effects);
+    OfferToLimiter(live, now, effects);
   }
   DispatchAll(now, effects);
 }
 
 void RequestFlow::Supersede(Live& live, Instant now, RouterEffects& effects) {
-  // The old owner's lease is over or it released the shard: its answer may never come.
+  // The old owner's lease has expired or it released the shard: its answer may never arrive.
   bool may_send = true;
   for (const Flight& flight : live.flights) {
     effects.cancels.push_back(flight.number);
@@ -151,9 +151,9 @@
     may_send = live.state.OnSuperseded(now);
   }
   live.flights.clear();
-  ReleasePlace(live, now);
+  ReleaseGroupSlot(live, now);
   if (may_send) {
-    Place(live, now, effects);
+    OfferToLimiter(live, now, effects);
   } else {
     GiveUp(live, ErrorKind::kDeadlineExceeded, std::nullopt, now, effects);
   }
@@ -178,10 +178,10 @@
              now, effects);
       return;
     case Live::Phase::kHeld:
-      Place(live, now, effects);
+      OfferToLimiter(live, now, effects);
       return;
     case Live::Phase::kClaiming:
-      GiveUp(live, JournalSilent(), std::nullopt, now, effects);
+      GiveUp(live, JournalTimedOut(), std::nullopt, now, effects);
       return;
     case Live::Phase::kSending:
       Hedge(live, now, effects);
@@ -197,7 +197,7 @@
   return dispatch_at_ ? std::min(*dispatch_at_, timer) : timer;
 }
 
-void RequestFlow::Wait(Live& live, Instant until) {
+void RequestFlow::SetTimer(Live& live, Instant until) {
   ClearTimer(live);
   live.timer = until;
   timers_.emplace(until, live.caller.number);
@@ -221,8 +221,8 @@
   }
 }
 
-void RequestFlow::NoteUse(Live& live, Instant now) {
-  live.service->NoteUse(live.caller.group, now);
+void RequestFlow::RecordUsage(Live& live, Instant now) {
+  live.service->RecordUsage(live.caller.group, now);
 }
 
 double RequestFlow::Jitter() {
--- a/src/routing/request_sending.cc
+++ b/src/routing/request_sending.cc
@@ -1,4 +1,4 @@
-// The part of RequestFlow that finds a request its place, its claim and its server.
+// RequestFlow: admits requests, claims operations, chooses servers and sends attempts.
 #include <algorithm>
 
 #include "graniteseam/common/seeded_defects.h"
@@ -8,7 +8,7 @@
 
 namespace graniteseam::routing {
 
-void RequestFlow::Place(Live& live, Instant now, RouterEffects& effects) {
+void RequestFlow::OfferToLimiter(Live& live, Instant now, RouterEffects& effects) {
   SetHeld(live, false);
   ClearTimer(live);
   ServiceRouter& service = *live.service;
@@ -24,18 +24,18 @@
   live.lane = lane;
   const admission::OfferResult offer =
       service.limiter().Offer({live.caller.number, live.caller.group, lane, live.state.deadline()},
-                              service.RoomInLane(lane, now), now);
+                              service.AvailableSlotsInLane(lane, now), now);
   if (offer.displaced) {
     GiveUp(*live_.at(*offer.displaced), ErrorKind::kOverloaded, offer.retry_after, now, effects);
   }
   switch (offer.verdict) {
     case admission::Verdict::kAdmitted:
-      Admitted(live, now, effects);
+      OnAdmitted(live, now, effects);
       return;
     case admission::Verdict::kQueued:
       live.phase = Live::Phase::kQueued;
-      Wait(live, offer.give_up_at);
-      NoteUse(live, now);
+      SetTimer(live, offer.give_up_at);
+      RecordUsage(live, now);
       return;
     case admission::Verdict::kRefused:
       GiveUp(live, ErrorKind::kOverloaded, offer.retry_after, now, effects);
@@ -43,13 +43,13 @@
   }
 }
 
-void RequestFlow::Admitted(Live& live, Instant now, RouterEffects& effects) {
+void RequestFlow::OnAdmitted(Live& live, Instant now, RouterEffects& effects) {
   ClearTimer(live);
-  live.has_place = true;
-  NoteUse(live, now);
+  live.has_group_slot = true;
+  RecordUsage(live, now);
   const std::optional<ServerId> server = ChooseServer(live, now);
   if (!server) {
-    ReleasePlace(live, now);
+    ReleaseGroupSlot(live, now);
     Hold(live, now, effects);
     return;
   }
@@ -66,7 +66,7 @@
   ServerSelector& selector = live.service->selector();
   if (!live.service->keyed()) return selector.Choose(live.avoided, now);
   const Route& route = table_.Find(live.service->service().name, live.shard);
-  if (route.state != control::ShardState::kAssigned || !selector.Knows(route.owner)) {
+  if (route.state != control::ShardState::kAssigned || !selector.HasServer(route.owner)) {
     return std::nullopt;
   }
   if (selector.DrainedForLong(route.owner, now)) return std::nullopt;
@@ -79,7 +79,7 @@
   claims_[*live.claim] = live.caller.number;
   journal_.AddClaim({*live.caller.operation, live.caller.service, live.caller.group,
                      live.caller.request_digest, *live.claim});
-  Wait(live, live.state.PatienceEnd(now));
+  SetTimer(live, live.state.HoldDeadline(now));
 }
 
 void RequestFlow::OnClaimResult(const control::ClaimResult& result, Instant now,
@@ -112,8 +112,8 @@
 }
 
 void RequestFlow::SendReserved(Live& live, Instant now, RouterEffects& effects) {
-  // Time has passed since the request came in: lease and bundle are asked again before each send,
-  // so that no request goes out under rules that are not in force any more.
+  // Lease and bundle are checked again before each send: they may have changed since the request
+  // arrived, and a request must not be sent under rules that are no longer in force.
   if (const std::optional<Error> refusal = guard_.Refusal(live.caller, now)) {
     GiveUp(live, *refusal, options_.retry_after, now, effects);
     return;
@@ -122,16 +122,16 @@
     GiveUp(live, ErrorKind::kDeadlineExceeded, std::nullopt, now, effects);
     return;
   }
-  if (!ReservationHolds(live, now)) {
+  if (!ReservationValid(live, now)) {
     ReleaseReservation(live);
-    ReleasePlace(live, now);
-    Place(live, now, effects);
+    ReleaseGroupSlot(live, now);
+    OfferToLimiter(live, now, effects);
     return;
   }
   Send(live, now, effects);
 }
 
-bool RequestFlow::ReservationHolds(const Live& live, Instant now) const {
+bool RequestFlow::ReservationValid(const Live& live, Instant now) const {
   if (!live.service->keyed()) return live.service->selector().AcceptsNewWork(*live.reserved);
   const Route& route = table_.Find(live.service->service().name, live.shard);
   return route.state == control::ShardState::kAssigned && route.owner == *live.reserved &&
@@ -169,8 +169,8 @@
   send.hedged = service.service().hedging && service.service().repeatable && !service.keyed();
   live.flights.push_back(std::move(flight));
   if (send.hedged && live.flights.size() == 1) {
-    if (const std::optional<Duration> slow = service.selector().SlowAnswer()) {
-      Wait(live, now + *slow);
+    if (const std::optional<Duration> slow = service.selector().SlowAnswerThreshold()) {
+      SetTimer(live, now + *slow);
     }
   }
   effects.sends.push_back(std::move(send));
@@ -201,8 +201,8 @@
     return;
   }
   SetHeld(live, true);
-  Wait(live, decision.at);
-  NoteUse(live, now);
+  SetTimer(live, decision.at);
+  RecordUsage(live, now);
 }
 
 }  // namespace graniteseam::routing
--- a/src/routing/request_state.cc
+++ b/src/routing/request_state.cc
@@ -29,19 +29,19 @@
       result.end == AttemptEnd::kBroken && DefectOn(Defect::kNotRunAfterTimeout);
   if (!ProvenNotRun(result.end) && !timed_out_by_defect) {
     may_have_run_ = true;
-    if (!traits_.repeatable) return GivingUp(ErrorKind::kOutcomeUnknown);
+    if (!traits_.repeatable) return GiveUpDecision(ErrorKind::kOutcomeUnknown);
   }
   if (in_flight_ > 0) return {Step::kWait, {}, {}, {}};
   if (result.end == AttemptEnd::kDeadlinePassed || !MaySend(now)) {
-    return GivingUp(ErrorKind::kDeadlineExceeded);
+    return GiveUpDecision(ErrorKind::kDeadlineExceeded);
   }
   return Retry(result, budget, jitter, now);
 }
 
 Decision RequestState::Retry(const AttemptResult& result, RetryBudget& budget, double jitter,
                              Instant now) {
-  // Only the owner can serve a key. Until the map or the owner changes its mind, trying is bounded
-  // by backing off, and the whole wait by the hold.
+  // Only the owner can serve a key. Until the map or the owner's state changes, back-off bounds the
+  // rate of retries and the hold bounds the total wait.
   if (traits_.keyed &&
       (result.end == AttemptEnd::kNotOwner || result.end == AttemptEnd::kNotReady ||
        result.end == AttemptEnd::kNotSent)) {
@@ -50,14 +50,15 @@
   const ErrorKind reason =
       result.end == AttemptEnd::kShed ? ErrorKind::kOverloaded : ErrorKind::kUnavailable;
   if (retries_ >= options_.retries_maximum || !budget.TryTake()) {
-    return GivingUp(reason, result.retry_after);
+    return GiveUpDecision(reason, result.retry_after);
   }
   ++retries_;
   if (result.end == AttemptEnd::kNotSent || result.end == AttemptEnd::kNotReady) {
     return {Step::kSendAgain, now, reason, result.retry_after};
   }
   const Instant at = now + BackOff(jitter);
-  if (at + options_.time_left_minimum > deadline_) return GivingUp(reason, result.retry_after);
+  if (at + options_.time_left_minimum > deadline_)
+    return GiveUpDecision(reason, result.retry_after);
   return {Step::kBackOff, at, reason, result.retry_after};
 }
 
@@ -74,7 +75,7 @@
 
 Decision RequestState::Hold(double jitter, Instant now) {
   const Instant until = HoldUntil(now);
-  if (now >= until) return GivingUp(ErrorKind::kUnavailable);
+  if (now >= until) return GiveUpDecision(ErrorKind::kUnavailable);
   return {Step::kHold, std::min(until, now + BackOff(jitter)), ErrorKind::kUnavailable, {}};
 }
 
@@ -84,7 +85,7 @@
   return may_have_run_ ? RequestOutcome::kOutcomeUnknown : RequestOutcome::kNotRun;
 }
 
-Instant RequestState::PatienceEnd(Instant now) const {
+Instant RequestState::HoldDeadline(Instant now) const {
   const auto left = static_cast<double>((deadline_ - now).count());
   return now + Duration(std::llround(std::max(0.0, left * options_.hold_fraction)));
 }
@@ -94,18 +95,19 @@
   const Duration longest =
       std::min(options_.back_off_maximum,
                options_.back_off_first * (1U << std::min(waits_++, kDoublingsMaximum)));
-  // Between half and the whole, so that requests which failed together do not come back together.
+  // Jitter between half and the full delay, so that requests that failed together do not retry
+  // together.
   return longest / 2 + Duration(std::llround(jitter * static_cast<double>(longest.count()) / 2.0));
 }
 
 Instant RequestState::HoldUntil(Instant now) {
   if (!hold_until_) {
-    hold_until_ = std::min(now + options_.hold_maximum, PatienceEnd(now));
+    hold_until_ = std::min(now + options_.hold_maximum, HoldDeadline(now));
   }
   return *hold_until_;
 }
 
-Decision RequestState::GivingUp(ErrorKind reason, std::optional<Duration> retry_after) {
+Decision RequestState::GiveUpDecision(ErrorKind reason, std::optional<Duration> retry_after) {
   return {Step::kGiveUp, {}, reason, retry_after};
 }
 
--- a/src/routing/server_selector.cc
+++ b/src/routing/server_selector.cc
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Half of the time within which a drained server must get nothing new.
-constexpr Duration kDrainAllowance{1'000'000};
+/// Half of the time within which a draining server must stop getting new requests.
+constexpr Duration kDrainGracePeriod{1'000'000};
 constexpr double kLatencySmoothing = 0.1;
 constexpr double kLatencyUnknownUs = 1'000.0;
 constexpr std::uint64_t kAnswersForEstimate = 32;
-/// Two would do for even servers. With a fifth of them slow, two choices are both slow for 4 in 100
-/// requests; four choices for fewer than 2 in 1,000.
+/// Two choices suffice for equally fast servers. With a fifth of the servers slow, both of two
+/// choices are slow for 4 in 100 requests; all of four are for fewer than 2 in 1,000.
 constexpr int kChoices = 4;
 constexpr int kSampleTries = 8;
 
@@ -51,12 +51,12 @@
     server->since = now;
     lanes_[server->lane] = server.get();
   }
-  // A server that is met draining may have begun long ago.
+  // A server first listed as draining may have started to drain long ago.
   if (!entry.accepts_new_work && server->listed_before && server->accepts_new_work) {
     server->drained_since = confirmed_at_;
   }
   server->listed_before = true;
-  // One that takes work again after a drain or a lost lease starts slowly once more.
+  // A server that accepts work again after a drain or a lost lease gets a slow start again.
   if (entry.accepts_new_work && !server->accepts_new_work) server->since = now;
   server->listed = true;
   server->accepts_new_work = entry.accepts_new_work;
@@ -71,7 +71,7 @@
 bool ServerSelector::DrainedForLong(const ServerId& server, Instant now) const {
   const Server* found = Find(server);
   return found != nullptr && !found->accepts_new_work &&
-         now - found->drained_since >= kDrainAllowance;
+         now - found->drained_since >= kDrainGracePeriod;
 }
 
 std::optional<ServerId> ServerSelector::Choose(const std::vector<ServerId>& avoided, Instant now) {
@@ -81,7 +81,7 @@
   int seen = 0;
   for (int tries = 0; tries < kSampleTries && seen < kChoices; ++tries) {
     Server* server = order_[SplitMix64(random_) % order_.size()];
-    if (server == best || !MayTake(*server, now) || Contains(avoided, server->id)) continue;
+    if (server == best || !IsEligible(*server, now) || Contains(avoided, server->id)) continue;
     ++seen;
     const double score = Score(*server, now);
     if (best != nullptr && score >= best_score) continue;
@@ -101,7 +101,7 @@
   Server* best = nullptr;
   double best_score = 0.0;
   for (Server* server : order_) {
-    if (!MayTake(*server, now) || Contains(avoided, server->id)) continue;
+    if (!IsEligible(*server, now) || Contains(avoided, server->id)) continue;
     const double score = Score(*server, now);
     if (best != nullptr && score >= best_score) continue;
     best = server;
@@ -110,17 +110,17 @@
   return best;
 }
 
-std::size_t ServerSelector::PoolRoom(Instant now) const {
+std::size_t ServerSelector::PoolAvailableSlots(Instant now) const {
   std::size_t room = 0;
   for (const Server* server : order_) {
-    if (MayTake(*server, now)) room += server->window.Room(now);
+    if (IsEligible(*server, now)) room += server->window.AvailableSlots(now);
   }
   return room;
 }
 
-std::size_t ServerSelector::RoomAt(const ServerId& server, Instant now) const {
+std::size_t ServerSelector::AvailableSlotsAt(const ServerId& server, Instant now) const {
   const Server* found = Find(server);
-  return found == nullptr ? 0 : found->window.Room(now);
+  return found == nullptr ? 0 : found->window.AvailableSlots(now);
 }
 
 std::uint32_t ServerSelector::LaneOf(const ServerId& server) const {
@@ -163,11 +163,11 @@
   switch (end) {
     case AttemptEnd::kAnswered:
       server->window.OnAnswered(latency, now);
-      // An error answer comes fast and says nothing about the time that work takes.
+      // An error answer arrives fast and gives no evidence of how long work takes.
       if (status >= kServerErrors) {
         outliers_.OnFailed(id, now);
       } else {
-        LearnLatency(*server, latency, now);
+        UpdateLatency(*server, latency, now);
         outliers_.OnAnswered(id, latency, now);
       }
       break;
@@ -197,7 +197,7 @@
   return capacity;
 }
 
-std::optional<Duration> ServerSelector::SlowAnswer() const {
+std::optional<Duration> ServerSelector::SlowAnswerThreshold() const {
   if (answers_ < kAnswersForEstimate) return std::nullopt;
   return Duration(std::llround(latency_us_ + 4.0 * deviation_us_));
 }
@@ -213,8 +213,8 @@
   servers_.erase(ServerId(server.id));
 }
 
-bool ServerSelector::MayTake(const Server& server, Instant now) const {
-  return server.accepts_new_work && server.window.Room(now) > 0 &&
+bool ServerSelector::IsEligible(const Server& server, Instant now) const {
+  return server.accepts_new_work && server.window.AvailableSlots(now) > 0 &&
          !outliers_.Ejected(server.id, now);
 }
 
@@ -228,7 +228,7 @@
          options_.slow_start.Weight(server.since, now);
 }
 
-double ServerSelector::Memory(const Server& server, Instant now) const {
+double ServerSelector::LatencyWeight(const Server& server, Instant now) const {
   const auto age = static_cast<double>((now - server.latency_at).count());
   return std::exp2(-age / static_cast<double>(options_.latency_half_life.count()));
 }
@@ -236,16 +236,16 @@
 double ServerSelector::LatencyNow(const Server& server, Instant now) const {
   const double pool = latency_us_ > 0.0 ? latency_us_ : kLatencyUnknownUs;
   if (server.latency_us <= 0.0) return pool;
-  return pool + (server.latency_us - pool) * Memory(server, now);
+  return pool + (server.latency_us - pool) * LatencyWeight(server, now);
 }
 
-void ServerSelector::LearnLatency(Server& server, Duration latency, Instant now) {
+void ServerSelector::UpdateLatency(Server& server, Duration latency, Instant now) {
   const auto sample = static_cast<double>(latency.count());
   if (server.latency_us <= 0.0) {
     server.latency_us = sample;
   } else {
-    // The more was forgotten, the more the first answer after a silence counts.
-    const double weight = std::max(kLatencySmoothing, 1.0 - Memory(server, now));
+    // The older the estimate, the more weight the first new sample gets.
+    const double weight = std::max(kLatencySmoothing, 1.0 - LatencyWeight(server, now));
     server.latency_us += weight * (sample - server.latency_us);
   }
   server.latency_at = now;
