--- a/src/control/membership_repair.cc
+++ b/src/control/membership_repair.cc
@@ -22,7 +22,7 @@
 bool IsReachable(const MembershipView& view, const Member& member) {
   if (member.IsSameMemberAs(view.self)) return true;
   const consensus::PeerStatus* status = StatusOf(view, member);
-  return status != nullptr && status->silence <= kReachableWithin;
+  return status != nullptr && status->time_since_response <= kReachableWithin;
 }
 
 /// Whether a learner is reachable and has caught up with the log.
@@ -98,7 +98,7 @@
   const bool disk_lost = std::any_of(learners.begin(), learners.end(),
                                      [&](const Member& one) { return one.id == voter.id; });
   const consensus::PeerStatus* status = StatusOf(view, voter);
-  return disk_lost || (status != nullptr && status->silence >= options.replace_after);
+  return disk_lost || (status != nullptr && status->time_since_response >= options.replace_after);
 }
 
 /// A learner that is ready to vote.
@@ -152,7 +152,7 @@
   if (auto admitted = Admission(view)) return admitted;
   for (const Member& learner : view.membership.learners) {
     const consensus::PeerStatus* status = StatusOf(view, learner);
-    if (status != nullptr && status->silence >= options.remove_learner_after) {
+    if (status != nullptr && status->time_since_response >= options.remove_learner_after) {
       return WithoutLearner(view.membership, learner);
     }
   }
--- a/tests/control/feed_selector_test.cc
+++ b/tests/control/feed_selector_test.cc
@@ -73,7 +73,7 @@
 
 Test(feed_choice, member_that_is_silent_or_behind_is_not_named) {
   consensus::PeerStatus silent = Peer(2, "a");
-  silent.silence = std::chrono::seconds(2);
+  silent.time_since_response = std::chrono::seconds(2);
   consensus::PeerStatus behind = Peer(3, "a");
   behind.caught_up = false;
   FeedSelector choice;
--- a/tests/control/membership_repair_test.cc
+++ b/tests/control/membership_repair_test.cc
@@ -80,7 +80,7 @@
   MembershipView view{
       kA, {{kA, kB, kC}, {kD}}, {Status(kB, 50), Status(kC, 3'000), Status(kD, 50)}, {}};
   cr_assert(!NextMembership(Enabled(), view), "a short silence is no loss");
-  view.others[1].silence = std::chrono::seconds(7);
+  view.others[1].time_since_response = std::chrono::seconds(7);
   const auto next = NextMembership(Enabled(), view);
   cr_assert(next && next->voters.size() == 4);
 }
