--- a/src/control/feed_selector.cc
+++ b/src/control/feed_selector.cc
@@ -39,7 +39,8 @@
                 [&](const auto& entry) { return now - entry.second >= kEligibleAfterCaughtUp; });
   for (const consensus::PeerStatus& peer : peers) {
     if (peer.caught_up) caught_up_at_[peer.member.address] = now;
-    if (peer.time_since_response >= kAnsweredWithin || !caught_up_at_.contains(peer.member.address)) continue;
+    if (peer.time_since_response >= kAnsweredWithin || !caught_up_at_.contains(peer.member.address))
+      continue;
     all_.push_back(peer.member.address);
     by_zone_[peer.member.zone].push_back(peer.member.address);
   }
