--- a/src/gateway/backend_table.cc
+++ b/src/gateway/backend_table.cc
@@ -30,7 +30,7 @@
 /// on few answers.
 constexpr double kSpeedMaximum = 2.0;
 /// How long this gateway counts its requests before the count decides how servers are chosen.
-constexpr Duration kVisitsCountedMinimum{3'000'000};
+constexpr Duration kRequestCountAgeMinimum{3'000'000};
 /// Weight of the newest load report in the occupancy of a zone's servers, and the time constant
 /// with which the occupancy decays.
 constexpr double kNewestOccupancy = 0.2;
@@ -342,14 +342,15 @@
 
 bool BackendTable::HasEnoughSamples(const ServiceName& service, std::size_t servers,
                                     Instant now) const {
-  const auto found = visits_.find(service);
-  if (found == visits_.end() || now - found->second.since < kVisitsCountedMinimum) return true;
-  const Visits& visits = found->second;
-  const double memory = Micros(options_.visits_memory);
-  const double recent = visits.fading * std::exp(-Micros(now - visits.at) / memory);
+  const auto found = request_counts_.find(service);
+  if (found == request_counts_.end() || now - found->second.since < kRequestCountAgeMinimum)
+    return true;
+  const RequestCount& request_count = found->second;
+  const double memory = Micros(options_.request_count_decay);
+  const double recent = request_count.decayed * std::exp(-Micros(now - request_count.at) / memory);
   // Corrects for the period before the count began.
-  const double counted = 1 - std::exp(-Micros(now - visits.since) / memory);
-  return recent >= options_.visits_to_know * counted * static_cast<double>(servers);
+  const double counted = 1 - std::exp(-Micros(now - request_count.since) / memory);
+  return recent >= options_.requests_per_server_minimum * counted * static_cast<double>(servers);
 }
 
 const Backend* BackendTable::ShortestWait(const Backends& usable, Duration target, Instant now) {
@@ -418,11 +419,13 @@
   ++found->second.in_flight;
   pressure_.note_sent(id, now);
   if (IsWarmingUp(found->second, now)) warm_ups_.note_sent(id, now);
-  Visits& visits =
-      visits_.try_emplace(found->second.instance.report.service, Visits{0, now, now}).first->second;
-  visits.fading *= std::exp(-Micros(now - visits.at) / Micros(options_.visits_memory));
-  ++visits.fading;
-  visits.at = now;
+  RequestCount& request_count =
+      request_counts_.try_emplace(found->second.instance.report.service, RequestCount{0, now, now})
+          .first->second;
+  request_count.decayed *=
+      std::exp(-Micros(now - request_count.at) / Micros(options_.request_count_decay));
+  ++request_count.decayed;
+  request_count.at = now;
 }
 
 void BackendTable::ApplyHints(const std::vector<traffic::InstanceHint>& hints, Instant now) {
--- a/src/gateway/backend_table.h
+++ b/src/gateway/backend_table.h
@@ -56,10 +56,10 @@
   double cold_factor = 2.0;      ///< Factor on the latency of a server that warms up.
   double waiting_maximum = 2.0;  ///< Requests per slot that may wait at a server.
   /// Mean number of requests that each server of a service must get from this gateway within
-  /// visits_memory for this gateway's own samples to decide which server is best. With fewer, all
-  /// gateways would follow the same hints to the same few servers.
-  double visits_to_know = 2.0;
-  Duration visits_memory{10'000'000};
+  /// request_count_decay for this gateway's own samples to decide which server is best. With fewer,
+  /// all gateways would follow the same hints to the same few servers.
+  double requests_per_server_minimum = 2.0;
+  Duration request_count_decay{10'000'000};
 };
 
 /// One server and this gateway's measurements of it.
@@ -177,8 +177,8 @@
 
  private:
   /// This gateway's recent requests to a service, exponentially decayed.
-  struct Visits {
-    double fading = 0;
+  struct RequestCount {
+    double decayed = 0;
     Instant at{};
     Instant since{};
   };
@@ -263,7 +263,7 @@
   std::map<ServiceName, std::vector<traffic::InstanceId>> services_;
   std::map<ServiceName, std::uint32_t> connection_shares_;
   std::set<ServiceName> keyed_;
-  std::map<ServiceName, Visits> visits_;
+  std::map<ServiceName, RequestCount> request_counts_;
   std::map<ServiceZone, Occupancy> occupancies_;
   /// Mean latency of a request by service, normalised to usual work time, in microseconds.
   std::map<ServiceName, double> usual_us_;
--- a/src/gateway/feed_watch.cc
+++ b/src/gateway/feed_watch.cc
@@ -36,12 +36,13 @@
   }
   if (own_version >= watch.awaited) {
     watch.wants_state_from_leader = false;
-    watch.late = 0;
+    watch.abandoned_since_current = 0;
     return;
   }
   auto const behind_for = now - watch.awaited_since;
   auto const stalled_for = now - std::max(watch.awaited_since, watch.advanced_at);
-  auto const lag_timeout = kLagTimeout * (1 << std::min(watch.late, kDoublingsMaximum));
+  auto const lag_timeout =
+      kLagTimeout * (1 << std::min(watch.abandoned_since_current, kDoublingsMaximum));
   auto const first = own_version == 0;
   auto const is_late = first ? behind_for >= kFirstStateTimeout
                              : stalled_for >= kStallTimeout || behind_for >= lag_timeout;
@@ -49,8 +50,8 @@
 }
 
 auto abandon_feed(FeedWatch& watch, Instant now) -> void {
-  ++watch.tried;
-  ++watch.late;
+  ++watch.feeds_abandoned;
+  ++watch.abandoned_since_current;
   watch.awaited_since = now;
   watch.wants_state_from_leader = true;
 }
--- a/src/gateway/feed_watch.h
+++ b/src/gateway/feed_watch.h
@@ -15,14 +15,15 @@
 /// version. A feed that does not deliver that version in time is abandoned: the gateway requests
 /// the state from the leader itself, and another feed.
 struct FeedWatch {
-  bool answered = false;      ///< A leader has answered a poll.
-  std::string address;        ///< The feed that the leader named last; empty before the first.
-  std::uint32_t tried = 0;    ///< Number of feeds abandoned so far.
+  bool answered = false;  ///< A leader has answered a poll.
+  std::string address;    ///< The feed that the leader named last; empty before the first.
+  std::uint32_t feeds_abandoned = 0;  ///< Number of feeds abandoned so far.
   std::uint64_t awaited = 0;  ///< A version that the leader has and this gateway still waits for.
   Instant awaited_since{};
   std::uint64_t version = 0;  ///< The version here at the last check.
   Instant advanced_at{};      ///< When a check last found a newer version.
-  std::uint32_t late = 0;     ///< Feeds abandoned since this gateway was last up to date.
+  std::uint32_t abandoned_since_current =
+      0;  ///< Feeds abandoned since this gateway was last up to date.
   bool wants_state_from_leader =
       false;  ///< Requests the state from the leader until it is up to date.
 };
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -173,7 +173,7 @@
   check_feed(feed_, version(), now);
   const bool has_feed = !feed_.address.empty();
   poll.wants_state = has_feed ? feed_.wants_state_from_leader : feed_.answered;
-  poll.feeds_tried = feed_.tried;
+  poll.feeds_tried = feed_.feeds_abandoned;
   reported_configuration_ = configuration();
   poll.loads = key_loads_.take();
   const bool tell_speeds = poll_sequence_ % kPollsPerSpeeds == 0;
--- a/src/gateway/live_request.h
+++ b/src/gateway/live_request.h
@@ -51,9 +51,9 @@
   Instant timer{};      ///< As entered in LiveRequests; Instant{} for none.
 
   std::optional<OpenAttempt> open;
-  std::uint32_t attempts = 0;   ///< Attempts so far, without those that sent no byte.
-  std::uint32_t numbering = 0;  ///< Number of the newest attempt.
-  std::uint32_t unsent = 0;     ///< Attempts that sent no byte.
+  std::uint32_t attempts = 0;        ///< Attempts so far, without those that sent no byte.
+  std::uint32_t newest_attempt = 0;  ///< Number of the newest attempt.
+  std::uint32_t unsent = 0;          ///< Attempts that sent no byte.
   std::vector<traffic::InstanceId> tried;
   bool may_have_run = false;
   ProbeRound probes;
--- a/src/gateway/quota_gate.cc
+++ b/src/gateway/quota_gate.cc
@@ -81,7 +81,7 @@
   m_polls.push_back({poll.sequence, now});
   if (m_polls.size() > kPollsKept) m_polls.pop_front();
   poll.quota.number = m_number;
-  poll.quota.tells_shares = std::exchange(m_tells_shares, false);
+  poll.quota.tells_shares = std::exchange(m_reports_shares, false);
   for (auto& [tenant, limited] : m_limited) {
     auto const asked = std::exchange(limited.asked, 0);
     if (asked > 0) poll.quota.demand.push_back({tenant, asked});
@@ -100,7 +100,7 @@
   auto const sent = std::find_if(m_polls.begin(), m_polls.end(),
                                  [&](auto const& one) { return one.sequence == poll; });
   if (sent == m_polls.end() || now - sent->at > kAnswerMaxAge) return;
-  m_tells_shares = m_tells_shares || grant.asks_for_shares;
+  m_reports_shares = m_reports_shares || grant.asks_for_shares;
   if (grant.renewed != 0 && grant.renewed == m_number) {
     m_lease_end = std::max(m_lease_end, sent->at + traffic::kQuotaLease);
   }
--- a/src/gateway/quota_gate.h
+++ b/src/gateway/quota_gate.h
@@ -83,7 +83,7 @@
   std::uint64_t m_number = 0;  ///< Number of the active set of shares.
   Instant m_lease_end{};
   std::deque<SentPoll> m_polls;
-  bool m_tells_shares = false;
+  bool m_reports_shares = false;
   std::uint64_t m_token_requests = 0;
   std::optional<Instant> m_requested_at;  ///< When the open token request was sent.
 };
--- a/src/gateway/request_sending.cc
+++ b/src/gateway/request_sending.cc
@@ -196,14 +196,14 @@
   request.token_wait_since = {};
   const traffic::InstanceId id = backend.instance.report.id;
   Note(request.arrived.number, "send", id, traffic_.backends().Describe(backend, now));
-  request.open = OpenAttempt{++request.numbering, id, now};
+  request.open = OpenAttempt{++request.newest_attempt, id, now};
   ++request.attempts;
   const bool again =
       std::find(request.tried.begin(), request.tried.end(), id) != request.tried.end();
   request.tried.push_back(id);
   SendAttempt send;
   send.request = request.arrived.number;
-  send.attempt = request.numbering;
+  send.attempt = request.newest_attempt;
   send.instance = id;
   send.address = backend.instance.report.address;
   send.time_left = request.give_up - now;
--- a/tests/gateway/feed_watch_test.cc
+++ b/tests/gateway/feed_watch_test.cc
@@ -33,7 +33,7 @@
     note_answer(watch, "f", version, version - 1, At(1'000 * second));
     check_feed(watch, version, At(1'000 * second + 500));
   }
-  cr_assert_eq(watch.tried, 0U);
+  cr_assert_eq(watch.feeds_abandoned, 0U);
   cr_assert_not(watch.wants_state_from_leader);
 }
 
@@ -41,13 +41,13 @@
   FeedWatch watch;
   note_answer(watch, "f", 20, 10, At(0));
   check_feed(watch, 10, At(500));
-  cr_assert_eq(watch.tried, 0U);
+  cr_assert_eq(watch.feeds_abandoned, 0U);
   // The leader goes on meanwhile: that does not begin the wait anew.
   note_answer(watch, "f", 30, 10, At(500));
   check_feed(watch, 10, At(1'100));
-  cr_assert(watch.tried == 1 && watch.wants_state_from_leader);
+  cr_assert(watch.feeds_abandoned == 1 && watch.wants_state_from_leader);
   check_feed(watch, 20, At(1'600));
-  cr_assert(watch.tried == 1 && !watch.wants_state_from_leader);
+  cr_assert(watch.feeds_abandoned == 1 && !watch.wants_state_from_leader);
 }
 
 // The state of a large fleet takes seconds over a gateway's link while it grows. Another feed, and
@@ -58,9 +58,9 @@
   for (std::int64_t ms = 0; ms <= 20'000; ms += 500) {
     const auto version = static_cast<std::uint64_t>(10 + ms);
     note_answer(watch, "f", version + 100'000, version, At(ms));
-    const std::uint32_t before = watch.tried;
+    const std::uint32_t before = watch.feeds_abandoned;
     check_feed(watch, version, At(ms));
-    if (watch.tried != before) given_up.push_back(ms);
+    if (watch.feeds_abandoned != before) given_up.push_back(ms);
   }
   const std::vector<std::int64_t> expected{1'500, 4'500, 10'500};
   cr_assert(given_up == expected);
@@ -70,9 +70,9 @@
   FeedWatch watch;
   note_answer(watch, "f", 20, 0, At(0));
   check_feed(watch, 0, At(3'500));
-  cr_assert_eq(watch.tried, 0U);
+  cr_assert_eq(watch.feeds_abandoned, 0U);
   check_feed(watch, 0, At(4'000));
-  cr_assert_eq(watch.tried, 1U);
+  cr_assert_eq(watch.feeds_abandoned, 1U);
 }
 
 Test(feed_watch, gateway_takes_the_state_from_its_feed_and_not_from_the_leader) {
