--- a/src/gateway/back_pressure_table.cc
+++ b/src/gateway/back_pressure_table.cc
@@ -17,8 +17,8 @@
 constexpr double kLimitMinimum = 0.05;
 /// Upper bound of a back-off period, so that a mistaken one ends.
 constexpr Duration kBackOffMaximum{600'000'000};
-/// Added to a back-off period: the server's clock may be slower than this one's, and a request
-/// sent earlier may be overtaken.
+/// Added to a back-off period: the server's clock may be slower than this one's, and a new
+/// request may overtake one sent earlier.
 constexpr Duration kBackOffMargin{10'000};
 /// Relative change of a limit from which on the change is logged.
 constexpr double kLoggedChange = 0.25;
--- a/src/gateway/backend_table.h
+++ b/src/gateway/backend_table.h
@@ -59,6 +59,7 @@
   /// request_count_decay for this gateway's own samples to decide which server is best. With fewer,
   /// all gateways would follow the same hints to the same few servers.
   double requests_per_server_minimum = 2.0;
+  /// Time constant with which the counts of this gateway's requests decay.
   Duration request_count_decay{10'000'000};
 };
 
@@ -178,9 +179,9 @@
  private:
   /// This gateway's recent requests to a service, exponentially decayed.
   struct RequestCount {
-    double decayed = 0;
-    Instant at{};
-    Instant since{};
+    double decayed = 0;  ///< As of `at`.
+    Instant at{};        ///< The newest request.
+    Instant since{};     ///< The first request counted.
   };
   /// Recent requests per slot at the servers of a zone, from their load reports.
   struct Occupancy {
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_watch.cc
@@ -7,7 +7,7 @@
 namespace graniteseam::gateway {
 namespace {
 
-/// As long as control counts losses.
+/// Losses are reported for as long as control counts them.
 constexpr Duration kLossKept{60'000'000};
 constexpr std::size_t kLossesMaximum = 128;
 /// Consecutive polls that report a loss: a poll may be lost with its connection.
--- a/src/gateway/feed_watch.h
+++ b/src/gateway/feed_watch.h
@@ -17,15 +17,16 @@
 struct FeedWatch {
   bool answered = false;  ///< A leader has answered a poll.
   std::string address;    ///< The feed that the leader named last; empty before the first.
-  std::uint32_t feeds_abandoned = 0;  ///< Number of feeds abandoned so far.
+  /// Feeds abandoned since the gateway started; reported in polls so that the leader names another.
+  std::uint32_t feeds_abandoned = 0;
   std::uint64_t awaited = 0;  ///< A version that the leader has and this gateway still waits for.
   Instant awaited_since{};
   std::uint64_t version = 0;  ///< The version here at the last check.
   Instant advanced_at{};      ///< When a check last found a newer version.
-  std::uint32_t abandoned_since_current =
-      0;  ///< Feeds abandoned since this gateway was last up to date.
-  bool wants_state_from_leader =
-      false;  ///< Requests the state from the leader until it is up to date.
+  /// Feeds abandoned since this gateway last had the awaited version; lengthens the lag timeout.
+  std::uint32_t abandoned_since_current = 0;
+  /// Whether polls request the state from the leader itself, until the awaited version is here.
+  bool wants_state_from_leader = false;
 };
 
 /// Records the leader's answer to a poll.
--- a/src/gateway/hot_key_gate.h
+++ b/src/gateway/hot_key_gate.h
@@ -36,8 +36,8 @@
   static constexpr Duration kReportLifetime{2'500'000};
 
   struct Gate {
-    double admitted = 1;
-    double credit = 0;  ///< A request is admitted when this reaches 1.
+    double admitted = 1;  ///< Part of the key's requests to admit, 0 to 1.
+    double credit = 0;    ///< A request is admitted when this reaches 1.
     Instant reported_at{};
   };
 
--- a/src/gateway/live_request.h
+++ b/src/gateway/live_request.h
@@ -52,7 +52,7 @@
 
   std::optional<OpenAttempt> open;
   std::uint32_t attempts = 0;        ///< Attempts so far, without those that sent no byte.
-  std::uint32_t newest_attempt = 0;  ///< Number of the newest attempt.
+  std::uint32_t newest_attempt = 0;  ///< Number of the newest attempt, unsent ones counted.
   std::uint32_t unsent = 0;          ///< Attempts that sent no byte.
   std::vector<traffic::InstanceId> tried;
   bool may_have_run = false;
