--- a/include/graniteseam/traffic/instance.h
+++ b/include/graniteseam/traffic/instance.h
@@ -65,7 +65,7 @@
   InstanceState state = InstanceState::kReady;
   std::uint64_t changed_at = 0;  ///< Log index of the last change.
 
-  bool TakesNewWork() const { return state == InstanceState::kReady; }
+  bool AcceptsNewWork() const { return state == InstanceState::kReady; }
   bool IsWarmingUp() const { return report.warmup_left_ms > 0; }
   /// Whether the instance has ended; its entry is a tombstone.
   bool IsGone() const {
--- a/src/control/range_controller.cc
+++ b/src/control/range_controller.cc
@@ -345,7 +345,7 @@
   std::vector<RangeCandidate> warming_up;
   const bool by_heartbeat = LeasedByHeartbeat(service);
   for (const auto& [id, instance] : state_.instances().instances()) {
-    const bool fits = instance.report.service == service && instance.TakesNewWork();
+    const bool fits = instance.report.service == service && instance.AcceptsNewWork();
     if (!fits || liveness_.IsUnreachable(id, now) || Unresponsive(id, now)) continue;
     if (avoided.contains(id) || HasEnded(id)) continue;
     if (by_heartbeat && !SentHeartbeatRecently(id, now)) continue;
--- a/src/control/range_releases.cc
+++ b/src/control/range_releases.cc
@@ -29,7 +29,7 @@
 
 bool RangeController::MustRelease(const KeyRange& range) const {
   const traffic::Instance* owner = state_.instances().Find(range.owner);
-  return owner == nullptr || !owner->TakesNewWork();
+  return owner == nullptr || !owner->AcceptsNewWork();
 }
 
 bool RangeController::InDrainedZone(const traffic::InstanceId& owner) const {
@@ -56,7 +56,7 @@
   std::set<traffic::InstanceId> backing_off;
   std::size_t all = 0;
   for (const auto& [id, instance] : state_.instances().instances()) {
-    if (instance.report.service != service || !instance.TakesNewWork()) continue;
+    if (instance.report.service != service || !instance.AcceptsNewWork()) continue;
     ++all;
     if (speeds_.IsFailing(id, now)) failing.insert(id);
     if (limits_.IsBackingOff(id, now)) backing_off.insert(id);
--- a/src/gateway/backend_table.cc
+++ b/src/gateway/backend_table.cc
@@ -79,7 +79,8 @@
     Backend& backend = backends_[id];
     List(backend, listed, instance);
     if (old != before.end()) backend = old->second;
-    const bool drains_now = !fresh && backend.instance.TakesNewWork() && !instance.TakesNewWork();
+    const bool drains_now =
+        !fresh && backend.instance.AcceptsNewWork() && !instance.AcceptsNewWork();
     if (drains_now) backend.drained_since = confirmed_at_;
     UpdateWarmUp(backend, instance, fresh, now);
     backend.instance = instance;
@@ -117,7 +118,7 @@
 void BackendTable::UpdateWarmUp(Backend& backend, const traffic::Instance& next, bool fresh,
                                 Instant now) {
   const bool drained = backend.instance.state == traffic::InstanceState::kZoneDrained;
-  const bool taken_back = !fresh && drained && next.TakesNewWork();
+  const bool taken_back = !fresh && drained && next.AcceptsNewWork();
   if (taken_back) backend.warm_at_earliest = now + options_.taken_back_warm_up;
   const bool changed = fresh || taken_back || next.IsWarmingUp() != backend.instance.IsWarmingUp();
   if (!changed) return;
@@ -177,7 +178,7 @@
   if (LeavingPastAllowance(backend.instance.report.id, now)) return true;
   const bool zone = backend.instance.state == traffic::InstanceState::kZoneDrained;
   const Duration allowance = zone ? options_.zone_drain_allowance : options_.drain_allowance;
-  return !backend.instance.TakesNewWork() && now - backend.drained_since >= allowance;
+  return !backend.instance.AcceptsNewWork() && now - backend.drained_since >= allowance;
 }
 
 double BackendTable::LoadOf(const Backend& backend, Instant now) const {
@@ -245,7 +246,7 @@
   for (const traffic::InstanceId& id : ids->second) {
     const Backend& backend = backends_.at(id);
     const bool was_tried = std::find(tried.begin(), tried.end(), id) != tried.end();
-    if (!backend.instance.TakesNewWork() || was_tried) continue;
+    if (!backend.instance.AcceptsNewWork() || was_tried) continue;
     if (!WarmUpAdmits(backend, now) || SendBlockReason(backend, now)) continue;
     if (now < backend.ejected_until) {
       const bool sooner =
@@ -305,7 +306,7 @@
   for (const traffic::InstanceId& id : asked) {
     const Backend* const backend = Find(id);
     if (backend == nullptr || now - backend->load_reported_at > kLoadReportMaxAge) continue;
-    if (!backend->instance.TakesNewWork() || !HasConnectionLeft(*backend)) continue;
+    if (!backend->instance.AcceptsNewWork() || !HasConnectionLeft(*backend)) continue;
     if (!WarmUpAdmits(*backend, now) || SendBlockReason(*backend, now)) continue;
     if (LoadOf(*backend, now) >= SlotsOf(*backend) * (1.0 + options_.waiting_maximum)) continue;
     const double time = CompletionMicros(*backend, target, now);
--- a/src/protocol/peer_transport.cc
+++ b/src/protocol/peer_transport.cc
@@ -43,7 +43,7 @@
     sent.to.address.clear();
     sent.to.zone.value.clear();
     peer->dialer->Send(codec::Encode(sent));
-    ForgetSilent(now);
+    StopIdleDialers(now);
   }
 
   void Connect(const std::string& address) {
@@ -65,7 +65,7 @@
   };
 
   Peer* FindOrDial(const std::string& address);
-  void ForgetSilent(Instant now);
+  void StopIdleDialers(Instant now);
 
   Hello hello_;
   InternalTls tls_;
@@ -95,7 +95,7 @@
   return &peers_.emplace(address, Peer{dialer, {}}).first->second;
 }
 
-void PeerTransport::Impl::ForgetSilent(Instant now) {
+void PeerTransport::Impl::StopIdleDialers(Instant now) {
   for (auto peer = peers_.begin(); peer != peers_.end();) {
     if (now - peer->second.last_sent <= kIdlePeerTimeout) {
       ++peer;
--- a/src/traffic/instance_table.cc
+++ b/src/traffic/instance_table.cc
@@ -155,7 +155,7 @@
 bool InstanceTable::WouldDrainLastReadyZone(const ZoneName& zone) const {
   bool any = false;
   for (const auto& [id, instance] : instances_) {
-    if (!instance.TakesNewWork()) continue;
+    if (!instance.AcceptsNewWork()) continue;
     if (instance.report.zone != zone) return false;
     any = true;
   }
--- a/tests/traffic/zone_drain_test.cc
+++ b/tests/traffic/zone_drain_test.cc
@@ -48,12 +48,12 @@
   Zones zones;
   cr_assert(zones.Drain(kEast, true));
   cr_assert(zones.At("i-1").state == InstanceState::kZoneDrained);
-  cr_assert(zones.At("i-2").TakesNewWork());
+  cr_assert(zones.At("i-2").AcceptsNewWork());
   cr_assert(!zones.At("i-1").IsGone());
   zones.Report(Beat("i-1", kEast, 2));
-  cr_assert(!zones.At("i-1").TakesNewWork(), "a heartbeat does not undo it");
+  cr_assert(!zones.At("i-1").AcceptsNewWork(), "a heartbeat does not undo it");
   cr_assert(zones.Drain(kEast, false));
-  cr_assert(zones.At("i-1").TakesNewWork());
+  cr_assert(zones.At("i-1").AcceptsNewWork());
 }
 
 Test(zone_drain, holds_for_instances_that_come_later) {
@@ -62,7 +62,7 @@
   zones.Report(Beat("i-3", kEast, 1));
   cr_assert(zones.At("i-3").state == InstanceState::kZoneDrained);
   cr_assert(zones.Drain(kEast, false));
-  cr_assert(zones.At("i-3").TakesNewWork());
+  cr_assert(zones.At("i-3").AcceptsNewWork());
 }
 
 Test(zone_drain, does_not_undo_an_instance_that_leaves) {
@@ -89,7 +89,7 @@
   Zones zones;
   cr_assert(zones.Drain(kEast, true));
   cr_assert(!zones.Drain(kWest, true));
-  cr_assert(zones.At("i-2").TakesNewWork());
+  cr_assert(zones.At("i-2").AcceptsNewWork());
   cr_assert(zones.Drain(ZoneName{"north"}, true), "a zone of which nothing is known yet");
   cr_assert(zones.Drain(kEast, false));
   cr_assert(zones.Drain(kWest, true));
@@ -124,5 +124,5 @@
   restored.Restore(zones.state.ZoneDrains());
   cr_assert(restored.instances().Find({"i-1"})->state == InstanceState::kZoneDrained);
   restored.Report({Beat("i-3", kEast, 1)}, 9);
-  cr_assert(!restored.instances().Find({"i-3"})->TakesNewWork());
+  cr_assert(!restored.instances().Find({"i-3"})->AcceptsNewWork());
 }
