--- a/include/graniteseam/placement/placement_planner.h
+++ b/include/graniteseam/placement/placement_planner.h
@@ -74,7 +74,8 @@
   /// A shard above the target is moved to a server with at most this fraction of the mean load,
   /// because that is cheaper than moving all of its neighbours.
   double hot_shard_target_load_maximum = 0.06;
-  double noise_deviations = 2.0;  ///< Imbalance within this noise is ignored.
+  /// Imbalance within this many standard deviations of the load estimates is ignored.
+  double noise_deviations = 2.0;
   /// Mean requests per second of a server, below which no shard is moved.
   double load_floor = 5.0;
   Duration settle_time{1'000'000};     ///< Waiting time after the last shift of load.
--- a/include/graniteseam/traffic/suspect.h
+++ b/include/graniteseam/traffic/suspect.h
@@ -1,6 +1,6 @@
 /// @file
-/// Suspect requests, while running which instances ended: the reports of routers and the replicated
-/// record.
+/// Suspect requests, which were running on instances when these ended: the reports of routers and
+/// the replicated record.
 #pragma once
 
 #include <boost/describe/class.hpp>
--- a/src/traffic/configuration_store.cc
+++ b/src/traffic/configuration_store.cc
@@ -10,7 +10,7 @@
 /// Several times the number of changes in one day. An older change is not recognized when it is
 /// resent.
 constexpr std::size_t kAcceptedDigestsMaximum = 20'000;
-/// Ten minutes.
+/// Longest timeout of a route: ten minutes.
 constexpr std::int64_t kTimeoutMaximumMs = 600'000;
 
 boost::leaf::error_id Invalid(std::string message, std::string remedy) {
--- a/src/traffic/instance_table.h
+++ b/src/traffic/instance_table.h
@@ -19,7 +19,7 @@
 /// - A deregistered instance never becomes active again.
 /// - A displaced instance becomes active again only by a committed report while no other instance
 ///   has its address. WouldChange() does not request such a commit.
-/// - A draining instance never takes new work again.
+/// - A draining instance never accepts new work again.
 /// - At most one instance per address, and one incarnation per server name, is not gone.
 ///
 /// This guards against heartbeats that arrive after their instance has ended, including those that
@@ -45,7 +45,8 @@
   /// get no new work. After the undrain an instance counts as warming up until its next heartbeat.
   /// @return whether anything changed.
   bool DrainZone(const ZoneName& zone, bool drained, std::uint64_t log_index);
-  /// Whether draining the zone would leave no instance that takes new work, while there is one now.
+  /// Whether draining the zone would leave no instance that accepts new work, while there is one
+  /// now.
   bool WouldDrainLastReadyZone(const ZoneName& zone) const;
   const std::set<ZoneName>& drained_zones() const { return drained_zones_; }
 
--- a/src/traffic/suspect_table.h
+++ b/src/traffic/suspect_table.h
@@ -1,5 +1,6 @@
 /// @file
-/// The suspect requests, while running which instances ended: part of the replicated state.
+/// The suspect requests, which were running on instances when these ended: part of the replicated
+/// state.
 #pragma once
 
 #include <boost/describe/class.hpp>
--- a/src/traffic/traffic_state.h
+++ b/src/traffic/traffic_state.h
@@ -41,8 +41,8 @@
   /// Marks an instance as deregistered; see InstanceTable::Deregister().
   void Deregister(const InstanceId& id, std::uint64_t log_index);
   /// Drains or undrains a zone; idempotent.
-  /// @return kFailedPrecondition when no instance of another zone takes work. A drain moves work to
-  /// other zones; it must not stop the service.
+  /// @return kFailedPrecondition when no instance of another zone accepts new work. A drain moves
+  /// work to other zones; it must not stop the service.
   Result<void> DrainZone(const ZoneName& zone, bool drained, std::uint64_t log_index);
   /// Apply changes of key ranges. Each one whose fence does not match is skipped; see
   /// KeyRangeTable.
