--- a/src/consensus/group_bootstrap.cc
+++ b/src/consensus/group_bootstrap.cc
@@ -101,8 +101,8 @@
 std::vector<Member> RaftConsensus::Impl::Announced() const {
   std::vector<Member> members;
   for (const auto& [id, announced] : announced_) {
-    const bool lately = now_ - announced.at <= 3 * options_.election_timeout_maximum;
-    if (lately && !IsMember(announced.member)) members.push_back(announced.member);
+    const bool recent = now_ - announced.at <= 3 * options_.election_timeout_maximum;
+    if (recent && !IsMember(announced.member)) members.push_back(announced.member);
   }
   return members;
 }
--- a/src/consensus/raft_consensus.cc
+++ b/src/consensus/raft_consensus.cc
@@ -32,8 +32,8 @@
     LeaderTick(now_);
     return;
   }
-  const bool unknown = InNoMembership() || MayHaveBeenRemoved(now_);
-  if (unknown && now_ >= next_announcement_) Announce(now_);
+  const bool may_be_outside_membership = InNoMembership() || MayHaveBeenRemoved(now_);
+  if (may_be_outside_membership && now_ >= next_announcement_) Announce(now_);
   if (now_ < election_deadline_) return;
   if (IsVoter(self_)) {
     BecomePreCandidate(now_);
--- a/src/storage/log_recovery.cc
+++ b/src/storage/log_recovery.cc
@@ -64,10 +64,10 @@
   }
   hard_state_ = content_.hard_state;
   if (segments_.empty()) return {};
-  BOOST_LEAF_ASSIGN(newest_, files_.OpenForAppend(PathOf(segments_.back())));
+  BOOST_LEAF_ASSIGN(newest_segment_file_, files_.OpenForAppend(PathOf(segments_.back())));
   // Data of the previous process may have been read from the page cache only. Syncs it before any
   // state is derived from it.
-  return newest_->Sync();
+  return newest_segment_file_->Sync();
 }
 
 Result<void> LogStore::RecoverSegment(std::uint64_t first_sequence, bool newest) {
@@ -86,7 +86,7 @@
       if (!newest) {
         return Corrupt(path + " is damaged at byte " + std::to_string(segment.size) + ".");
       }
-      BOOST_LEAF_CHECK(CutTornTail(segment, content));
+      BOOST_LEAF_CHECK(TruncateTornTail(segment, content));
       break;
     }
     BOOST_LEAF_CHECK(ApplyFrame(frame.payload, segment));
@@ -104,7 +104,7 @@
   return {};
 }
 
-Result<void> LogStore::CutTornTail(Segment& segment, std::string_view content) {
+Result<void> LogStore::TruncateTornTail(Segment& segment, std::string_view content) {
   const std::string_view tail = content.substr(segment.size);
   const Frame frame = ReadFrame(tail);
   // A frame is written only after the previous one is synced. A torn write is therefore at the very
--- a/src/storage/log_store.cc
+++ b/src/storage/log_store.cc
@@ -38,7 +38,8 @@
                 "The log in " + folder_ + " failed earlier and is closed for writes.",
                 "Stop the process; restart it only once the disk is healthy.");
   }
-  if (!newest_ || segments_.back().size >= segment_bytes_) BOOST_LEAF_CHECK(StartSegment());
+  if (!newest_segment_file_ || segments_.back().size >= segment_bytes_)
+    BOOST_LEAF_CHECK(StartSegment());
   if (segments_.back().size == 0) {
     // Older segments may be removed, so each segment begins with the hard state.
     LogBatch first;
@@ -53,14 +54,14 @@
 Result<void> LogStore::WriteFrame(const LogBatch& batch) {
   Segment& segment = segments_.back();
   const std::string frame = EncodeFrame(next_sequence_, codec::Encode(batch));
-  auto appended = Attempt([&] { return newest_->Append(frame); });
+  auto appended = Attempt([&] { return newest_segment_file_->Append(frame); });
   if (const Error* error = ErrorOf(appended)) {
     // Truncates a partial frame, so that the next frame follows a complete one.
-    const auto cut = Attempt([&] { return newest_->Truncate(segment.size); });
-    failed_ = ErrorOf(cut) != nullptr || error->kind != ErrorKind::kStorageFull;
+    const auto truncation = Attempt([&] { return newest_segment_file_->Truncate(segment.size); });
+    failed_ = ErrorOf(truncation) != nullptr || error->kind != ErrorKind::kStorageFull;
     return Fail(*error);
   }
-  auto synced = Attempt([&] { return newest_->Sync(); });
+  auto synced = Attempt([&] { return newest_segment_file_->Sync(); });
   if (const Error* error = ErrorOf(synced)) {
     failed_ = true;
     return Fail(*error);
@@ -86,7 +87,7 @@
     failed_ = error->kind != ErrorKind::kStorageFull;
     return Fail(*error);
   }
-  newest_ = std::move(std::get<std::unique_ptr<AppendFile>>(opened));
+  newest_segment_file_ = std::move(std::get<std::unique_ptr<AppendFile>>(opened));
   segments_.push_back(segment);
   return {};
 }
--- a/src/storage/log_store.h
+++ b/src/storage/log_store.h
@@ -80,7 +80,7 @@
   Result<void> Recover();
   Result<void> RecoverSegment(std::uint64_t first_sequence, bool newest);
   Result<void> ApplyFrame(std::string_view payload, Segment& segment);
-  Result<void> CutTornTail(Segment& segment, std::string_view content);
+  Result<void> TruncateTornTail(Segment& segment, std::string_view content);
   Result<void> StartSegment();
   Result<void> WriteFrame(const LogBatch& batch);
   std::string PathOf(const Segment& segment) const;
@@ -93,7 +93,7 @@
   consensus::HardState hard_state_;
   std::deque<Segment> segments_;
   std::uint64_t next_sequence_ = 1;
-  std::unique_ptr<AppendFile> newest_;
+  std::unique_ptr<AppendFile> newest_segment_file_;
   bool failed_ = false;
 };
 
