--- a/include/graniteseam/consensus/raft_consensus.h
+++ b/include/graniteseam/consensus/raft_consensus.h
@@ -82,7 +82,7 @@
   Member member;
   Duration time_since_response{};  ///< Since its last response, or since this leadership
                                    ///< began.
-  bool caught_up = false;          ///< Holds all entries committed at the start of the last round.
+  bool caught_up = false;  ///< Holds all entries committed at the start of the latest round.
 };
 
 /// One member of one replicated log.
--- a/include/graniteseam/consensus/types.h
+++ b/include/graniteseam/consensus/types.h
@@ -1,6 +1,6 @@
 /// @file
 /// Values and messages of the replicated log: Raft (Ongaro and Ousterhout 2014; Ongaro's
-/// dissertation 2014 for pre-vote, leader lease, learners and one-at-a-time membership change), as
+/// dissertation 2014 for pre-vote, leader lease, learners and single-server membership changes), as
 /// described in docs/design/consensus.md.
 #pragma once
 
--- a/src/consensus/group_bootstrap.cc
+++ b/src/consensus/group_bootstrap.cc
@@ -3,8 +3,9 @@
 ///
 /// A voter is identified by id and disk incarnation, so the first membership can be written only
 /// once the incarnation of every initial voter is known. The initial voter with the lowest id
-/// bootstraps the group: once every other one has announced, to its current incarnation, that it is
-/// bootstrapping too, it appends the membership as the first entry of its log and takes part in
+/// bootstraps the group. It waits until every other initial voter has announced that it is
+/// bootstrapping too, in an announcement addressed to the bootstrapping voter's current disk
+/// incarnation. It then appends the membership as the first entry of its log and takes part in
 /// elections. An initial voter that lost its disk and is started for bootstrap again receives
 /// announcements of members that are already in a group, and never creates a second group.
 #include <algorithm>
--- a/src/consensus/raft_consensus.cc
+++ b/src/consensus/raft_consensus.cc
@@ -161,8 +161,8 @@
   if (pending_.empty() || pending_.back().sequence != next) {
     pending_.push_back({next, hard_state_.term, {}, false, {}});
   }
-  // A step may enter a new term, as the first election does; its acknowledgements belong to that
-  // term.
+  // A step may enter a new term, as the first election does. Such a step holds no
+  // acknowledgement of the earlier term, so its persist request belongs to the new one.
   pending_.back().term = hard_state_.term;
   return pending_.back();
 }
--- a/src/storage/consensus_storage.h
+++ b/src/storage/consensus_storage.h
@@ -26,7 +26,8 @@
   /// The initial voters as configured at every start. A folder that was initialised for bootstrap
   /// continues the bootstrap with them after a restart, until the group exists.
   std::optional<consensus::Membership> configured_voters;
-  /// Members to which this process announces itself while outside the membership; disks are 0.
+  /// Members to which this process announces itself while outside the membership. Their
+  /// disk incarnations are 0.
   std::vector<consensus::Member> seeds;
   std::size_t segment_bytes = 16UL << 20U;  ///< Size at which a new log segment is started.
   /// SpaceIsLow() returns true below this much free space, so that the caller refuses new work
