--- a/src/consensus/group_bootstrap.cc
+++ b/src/consensus/group_bootstrap.cc
@@ -3,8 +3,9 @@
 ///
 /// A voter is identified by id and disk incarnation, so the first membership can be written only
 /// once the incarnation of every initial voter is known. The initial voter with the lowest id
-/// bootstraps the group: once every other one has announced, to its current incarnation, that it is
-/// bootstrapping too, it appends the membership as the first entry of its log and takes part in
+/// bootstraps the group. It waits until every other initial voter has announced that it is
+/// bootstrapping too, in an announcement addressed to the bootstrapping voter's current disk
+/// incarnation. It then appends the membership as the first entry of its log and takes part in
 /// elections. An initial voter that lost its disk and is started for bootstrap again receives
 /// announcements of members that are already in a group, and never creates a second group.
 #include <algorithm>
@@ -101,8 +102,8 @@
 std::vector<Member> RaftConsensus::Impl::Announced() const {
   std::vector<Member> members;
   for (const auto& [id, announced] : announced_) {
-    const bool lately = now_ - announced.at <= 3 * options_.election_timeout_maximum;
-    if (lately && !IsMember(announced.member)) members.push_back(announced.member);
+    const bool recent = now_ - announced.at <= 3 * options_.election_timeout_maximum;
+    if (recent && !IsMember(announced.member)) members.push_back(announced.member);
   }
   return members;
 }
--- a/src/consensus/raft_consensus.cc
+++ b/src/consensus/raft_consensus.cc
@@ -32,8 +32,8 @@
     LeaderTick(now_);
     return;
   }
-  const bool unknown = InNoMembership() || MayHaveBeenRemoved(now_);
-  if (unknown && now_ >= next_announcement_) Announce(now_);
+  const bool may_be_outside_membership = InNoMembership() || MayHaveBeenRemoved(now_);
+  if (may_be_outside_membership && now_ >= next_announcement_) Announce(now_);
   if (now_ < election_deadline_) return;
   if (IsVoter(self_)) {
     BecomePreCandidate(now_);
@@ -161,8 +161,8 @@
   if (pending_.empty() || pending_.back().sequence != next) {
     pending_.push_back({next, hard_state_.term, {}, false, {}});
   }
-  // A step may enter a new term, as the first election does; its acknowledgements belong to that
-  // term.
+  // A step may enter a new term, as the first election does. Such a step holds no
+  // acknowledgement of the earlier term, so its persist request belongs to the new one.
   pending_.back().term = hard_state_.term;
   return pending_.back();
 }
