--- a/src/control/configuration_rollout.h
+++ b/src/control/configuration_rollout.h
@@ -71,7 +71,7 @@
   std::vector<RolloutNote> TakeNotes() { return std::exchange(notes_, {}); }
 
   /// Number of routers examined so far, counted once per examination.
-  std::uint64_t looks() const { return evaluations_; }
+  std::uint64_t evaluations() const { return evaluations_; }
 
  private:
   struct Change {
--- a/src/control/control_node_impl.cc
+++ b/src/control/control_node_impl.cc
@@ -418,7 +418,7 @@
   AcknowledgeChanges(now);
   if (leadership_) {
     effects_.range_notes = leadership_->traffic.ranges().TakeNotes();
-    effects_.suspect_notes = leadership_->traffic.crashes().TakeNotes();
+    effects_.suspect_notes = leadership_->traffic.suspect_detector().TakeNotes();
     effects_.rollout_notes = leadership_->traffic.TakeNotes();
   }
   last_entry_at_ = now;
--- a/src/control/ownership_controller.cc
+++ b/src/control/ownership_controller.cc
@@ -121,7 +121,7 @@
   std::vector<CommandBody> commands;
   TargetChoosers choosers(state_, healthy_, pending_assignments_);
   DecideLosses(now, choosers, commands);
-  DecideAppearances(commands);
+  DecideUnleasedIncarnations(commands);
   DecideReleases(choosers, commands);
   DecideLeaving(commands);
   DecideRemovals(now, commands);
@@ -186,17 +186,17 @@
   }
 }
 
-void OwnershipController::DecideAppearances(std::vector<CommandBody>& commands) {
-  for (const auto& appearance : leases_.TakeUnleasedIncarnations()) {
-    if (HasPendingChange(appearance.server) || !MayReplace(appearance.server)) continue;
-    const auto* record = state_.servers().Find(appearance.server);
-    if (record != nullptr && record->serving && record->incarnation == appearance.incarnation) {
+void OwnershipController::DecideUnleasedIncarnations(std::vector<CommandBody>& commands) {
+  for (const auto& unleased : leases_.TakeUnleasedIncarnations()) {
+    if (HasPendingChange(unleased.server) || !MayReplace(unleased.server)) continue;
+    const auto* record = state_.servers().Find(unleased.server);
+    if (record != nullptr && record->serving && record->incarnation == unleased.incarnation) {
       continue;
     }
-    auto command = Registration(appearance.server, appearance.incarnation);
+    auto command = Registration(unleased.server, unleased.incarnation);
     if (!command) continue;
     commands.push_back(std::move(*command));
-    pending_changes_[appearance.server] = LogIndex{};
+    pending_changes_[unleased.server] = LogIndex{};
   }
 }
 
--- a/src/control/ownership_controller.h
+++ b/src/control/ownership_controller.h
@@ -83,7 +83,7 @@
   const PlatformMachine* Machine(const ServerId& server) const;
 
   void DecideLosses(Instant now, TargetChoosers& choosers, std::vector<CommandBody>& commands);
-  void DecideAppearances(std::vector<CommandBody>& commands);
+  void DecideUnleasedIncarnations(std::vector<CommandBody>& commands);
   void DecideReleases(TargetChoosers& choosers, std::vector<CommandBody>& commands);
   void DecideRemovals(Instant now, std::vector<CommandBody>& commands);
   void DecideLeaving(std::vector<CommandBody>& commands);
--- a/src/control/traffic_leader.h
+++ b/src/control/traffic_leader.h
@@ -32,7 +32,7 @@
         ranges_(options.ranges, state.traffic(), liveness_, limits_, orders_used, now),
         sessions_(state.traffic(), now, options.reports_push_completion, pushes_used),
         hints_(state.traffic()),
-        crashes_(state.traffic(), liveness_, now),
+        suspect_detector_(state.traffic(), liveness_, now),
         rollout_(now),
         quotas_(options.quotas, term.value, now) {}
 
@@ -48,8 +48,8 @@
     return notes;
   }
   /// Cost of answering routers so far: router records evaluated, and messages built.
-  std::uint64_t evaluations() const { return sessions_.evaluations() + rollout_.looks(); }
-  SuspectDetector& crashes() { return crashes_; }
+  std::uint64_t evaluations() const { return sessions_.evaluations() + rollout_.evaluations(); }
+  SuspectDetector& suspect_detector() { return suspect_detector_; }
   ConfigurationRollout& rollout() { return rollout_; }
 
   /// Processes a router's poll and returns the messages to send, the answer among them.
@@ -61,7 +61,7 @@
     for (const traffic::InstanceRest& rest : poll.rests) limits_.Take(rest, now);
     ranges_.TakeLoads(poll, now);
     hints_.TakePoll(poll, now);
-    crashes_.TakePoll(poll, now);
+    suspect_detector_.TakePoll(poll, now);
     rollout_.RecordPoll(poll.router, poll.version, now);
     SyncQuotaTenants(now);
     return sessions_.Poll(connection, poll, now, feed,
@@ -100,7 +100,7 @@
     if (state_.applied() < proposed_) return {};
     std::vector<CommandBody> commands = ranges_.Decide(now);
     if (now >= stale_address_check_due_) DeregisterStaleAddressHolders(commands, now);
-    crashes_.Decide(commands, now);
+    suspect_detector_.Decide(commands, now);
     return commands;
   }
   /// Records the log index of the last command that Decide() returned.
@@ -110,9 +110,9 @@
   /// commands wait to be applied: the wait ends with an event, and a timer would only spin.
   Instant NextDue() const {
     const bool waits = state_.applied() < proposed_;
-    const Instant decisions = std::min(ranges_.NextDue(), crashes_.NextDue());
-    const Instant told = std::min(sessions_.NextDue(), rollout_.NextDue());
-    return std::min(told, waits ? ranges_.NextOrderDue() : decisions);
+    const Instant decisions = std::min(ranges_.NextDue(), suspect_detector_.NextDue());
+    const Instant message_due = std::min(sessions_.NextDue(), rollout_.NextDue());
+    return std::min(message_due, waits ? ranges_.NextOrderDue() : decisions);
   }
 
  private:
@@ -141,7 +141,7 @@
   RangeController ranges_;
   TrafficSessions sessions_;
   HintPublisher hints_;
-  SuspectDetector crashes_;
+  SuspectDetector suspect_detector_;
   ConfigurationRollout rollout_;
   QuotaLedger quotas_;
   LogIndex proposed_;
--- a/tests/control/configuration_rollout_test.cc
+++ b/tests/control/configuration_rollout_test.cc
@@ -172,7 +172,7 @@
   for (int number = 0; number < kRouters; ++number) rollout.RecordPoll(router(number), 10, kStart);
   rollout.RecordCommit(traffic::ConfigurationVersion{5}, kSent, kStart + 600 * kMs);
   rollout.HoldAcknowledgement(1, kSent);
-  const std::uint64_t before = rollout.looks();
+  const std::uint64_t before = rollout.evaluations();
   std::size_t acknowledged = 0;
   for (int poll = 0; poll < 2 * kRouters; ++poll) {
     const Instant now = kStart + 600 * kMs + std::chrono::microseconds(100 * poll);
@@ -184,5 +184,5 @@
   acknowledged += rollout.TakeDue(kStart + 850 * kMs).size();
   cr_assert_eq(acknowledged, 1U);
   // 200 ms with a look each millisecond at the most, and one for each that may be the last.
-  cr_assert_leq(rollout.looks() - before, 210U * kRouters + 2U * kRouters);
+  cr_assert_leq(rollout.evaluations() - before, 210U * kRouters + 2U * kRouters);
 }
