--- a/include/graniteseam/control/traffic_options.h
+++ b/include/graniteseam/control/traffic_options.h
@@ -31,8 +31,8 @@
   /// Length of a lease by heartbeat. After an instance's crash its keys have no owner for this
   /// long. After the loss of a leader it takes up to 3 s until all instances have found the next
   /// one (a heartbeat interval, a call that times out after 1 s, an election), so the lease must
-  /// outlast that: in measurements 2.5 s performed worse than 3 s, and 4 s performed better; see
-  /// docs/MEASURED-DECISIONS.md.
+  /// outlast that, or live instances lose their keys. 2.5 s performs worse than 3 s, 4 s better;
+  /// see docs/MEASURED-DECISIONS.md.
   Duration lease_length{4'000'000};
   /// Leases by heartbeat: time within which an instance must send a heartbeat for newly assigned
   /// keys. Covers two heartbeat intervals (0.9 s in current deployments) and a late heartbeat.
--- a/src/control/heartbeat_relayer.h
+++ b/src/control/heartbeat_relayer.h
@@ -38,11 +38,11 @@
   explicit HeartbeatRelayer(const traffic::TrafficState& state) : state_(state) {}
 
   /// Accepts a heartbeat.
-  /// @param leader_known whether this process knows a leader or did so recently.
+  /// @param leader_known whether this process has a known leader, or had one recently.
   Disposition Take(std::uint64_t request, const ReportInstance& heartbeat, bool leader_known,
                    Instant now);
 
-  /// Requests that can be answered, on a process that knows a leader.
+  /// Requests that can be answered, on a process with a known leader.
   struct Completed {
     std::vector<std::uint64_t> acknowledged;  ///< Their changes are in the committed state.
     std::vector<std::uint64_t> refused;       ///< Only the leader may answer them.
--- a/src/control/membership_repair.cc
+++ b/src/control/membership_repair.cc
@@ -89,8 +89,8 @@
   return former == voters.end() ? nullptr : &*former;
 }
 
-/// Whether a voter needs a replacement: its disk came has_ready_replacement empty, or it has been
-/// unreachable for too long.
+/// Whether a voter needs a replacement: its disk came back empty, or it has been unreachable for
+/// too long.
 bool NeedsReplacement(const MembershipRepairOptions& options, const MembershipView& view,
                       const Member& voter) {
   if (IsReachable(view, voter)) return false;
