--- a/src/control/displacement.cc
+++ b/src/control/displacement.cc
@@ -27,10 +27,10 @@
   if (displaced == nullptr) return false;
   const traffic::Instance* const successor = SuccessorOf(instances, *displaced);
   if (successor == nullptr || AcceptsOrdersOf(*successor, *displaced)) return false;
-  const auto displaced_heard = liveness.FirstHeard(id);
-  const auto successor_heard = liveness.FirstHeard(successor->report.id);
-  return displaced_heard && successor_heard &&
-         *successor_heard - *displaced_heard > kHeartbeatDelayMaximum;
+  const auto displaced_heartbeat = liveness.FirstHeartbeatAt(id);
+  const auto successor_heartbeat = liveness.FirstHeartbeatAt(successor->report.id);
+  return displaced_heartbeat && successor_heartbeat &&
+         *successor_heartbeat - *displaced_heartbeat > kHeartbeatDelayMaximum;
 }
 
 std::vector<StaleAddressHolder> FindStaleAddressHolders(const traffic::InstanceTable& instances,
@@ -40,10 +40,10 @@
   for (const auto& [id, instance] : instances.instances()) {
     const traffic::Instance* const successor = SuccessorOf(instances, instance);
     if (successor == nullptr || !liveness.IsUnreachable(successor->report.id, now)) continue;
-    const auto displaced_heard = liveness.LastHeard(id);
-    const auto successor_heard = liveness.FirstHeard(successor->report.id);
-    if (!displaced_heard || !successor_heard) continue;
-    if (*displaced_heard - *successor_heard <= kHeartbeatDelayMaximum) continue;
+    const auto displaced_heartbeat = liveness.LastHeartbeatAt(id);
+    const auto successor_heartbeat = liveness.FirstHeartbeatAt(successor->report.id);
+    if (!displaced_heartbeat || !successor_heartbeat) continue;
+    if (*displaced_heartbeat - *successor_heartbeat <= kHeartbeatDelayMaximum) continue;
     stale_holders.push_back({successor->report.id, instance.report});
   }
   return stale_holders;
--- a/src/control/instance_liveness.h
+++ b/src/control/instance_liveness.h
@@ -21,37 +21,38 @@
 
   /// Records the arrival of a heartbeat.
   void RecordHeartbeat(const traffic::InstanceId& id, Instant now) {
-    HeardTimes& times = heard_.try_emplace(id, HeardTimes{now, {}, now}).first->second;
+    HeartbeatTimes& times =
+        heartbeat_times_.try_emplace(id, HeartbeatTimes{now, {}, now}).first->second;
     if (now - times.last >= kDuplicateWithin) times.previous = times.last;
     times.last = now;
   }
 
   /// Whether the time without a heartbeat exceeds the limit.
   bool IsUnreachable(const traffic::InstanceId& id, Instant now) const {
-    return now - LastHeard(id).value_or(start_) > unreachable_after_;
+    return now - LastHeartbeatAt(id).value_or(start_) > unreachable_after_;
   }
 
   /// Whether a heartbeat arrived at `since` or later.
-  bool HeardSince(const traffic::InstanceId& id, Instant since) const {
-    const auto last = LastHeard(id);
+  bool HasHeartbeatSince(const traffic::InstanceId& id, Instant since) const {
+    const auto last = LastHeartbeatAt(id);
     return last && *last >= since;
   }
 
   /// Whether two heartbeats arrived since then. A single one may have been delayed in transit.
-  bool HeardTwiceSince(const traffic::InstanceId& id, Instant since) const {
-    const auto found = heard_.find(id);
-    return found != heard_.end() && found->second.previous >= since;
+  bool HasTwoHeartbeatsSince(const traffic::InstanceId& id, Instant since) const {
+    const auto found = heartbeat_times_.find(id);
+    return found != heartbeat_times_.end() && found->second.previous >= since;
   }
 
   /// When the first heartbeat in this leadership arrived; nullopt if there was none.
-  std::optional<Instant> FirstHeard(const traffic::InstanceId& id) const {
-    const auto found = heard_.find(id);
-    return found == heard_.end() ? std::nullopt : std::optional(found->second.first);
+  std::optional<Instant> FirstHeartbeatAt(const traffic::InstanceId& id) const {
+    const auto found = heartbeat_times_.find(id);
+    return found == heartbeat_times_.end() ? std::nullopt : std::optional(found->second.first);
   }
   /// When the last heartbeat in this leadership arrived; nullopt if there was none.
-  std::optional<Instant> LastHeard(const traffic::InstanceId& id) const {
-    const auto found = heard_.find(id);
-    return found == heard_.end() ? std::nullopt : std::optional(found->second.last);
+  std::optional<Instant> LastHeartbeatAt(const traffic::InstanceId& id) const {
+    const auto found = heartbeat_times_.find(id);
+    return found == heartbeat_times_.end() ? std::nullopt : std::optional(found->second.last);
   }
 
  private:
@@ -59,7 +60,7 @@
   static constexpr Duration kDuplicateWithin{500'000};
 
   /// Arrival times of an instance's heartbeats.
-  struct HeardTimes {
+  struct HeartbeatTimes {
     Instant first;
     Instant previous;  ///< The heartbeat before `last` that is not a copy of it; Instant{} for
                        ///< none.
@@ -68,7 +69,7 @@
 
   const Duration unreachable_after_;
   const Instant start_;
-  std::map<traffic::InstanceId, HeardTimes> heard_;
+  std::map<traffic::InstanceId, HeartbeatTimes> heartbeat_times_;
 };
 
 }  // namespace graniteseam::control
--- a/src/control/range_controller.cc
+++ b/src/control/range_controller.cc
@@ -140,9 +140,9 @@
         status.since = now;
         // A piece of a range with a valid grant need not be renewed before its time. A new leader
         // spreads the renewals of all ranges over that time.
-        const bool stands = range.phase == RangePhase::kServing;
+        const bool serving = range.phase == RangePhase::kServing;
         const Duration within = options_.renewal_interval / 4;
-        status.next_order = stands ? now + StaggeredPart(within, synced.size()) : now;
+        status.next_order = serving ? now + StaggeredPart(within, synced.size()) : now;
         const RangeStatus* const whole = PreviousStatus({service, first}, range.fence);
         status.refused = whole != nullptr && whole->refused;
         status.leased = whole != nullptr && whole->leased;
@@ -289,7 +289,7 @@
   if (replaced == replaced_.end()) return HasProvablyEnded(state_.instances(), liveness_, instance);
   // An instance that still sends heartbeats this long after that answer is running: the answer was
   // wrong.
-  return !liveness_.HeardSince(instance, replaced->second + kHeartbeatDelayMaximum);
+  return !liveness_.HasHeartbeatSince(instance, replaced->second + kHeartbeatDelayMaximum);
 }
 
 std::vector<CommandBody> RangeController::Decide(Instant now) {
@@ -398,9 +398,9 @@
   const auto failing = failing_since_.find(instance);
   if (failing == failing_since_.end()) return false;
   // One heartbeat received since then may have been sent before the instance ended.
-  const bool still_heard =
-      liveness_.HeardSince(instance, failing->second) && !liveness_.IsUnreachable(instance, now);
-  return now - failing->second > options_.unresponsive_after && !still_heard;
+  const bool reachable = liveness_.HasHeartbeatSince(instance, failing->second) &&
+                         !liveness_.IsUnreachable(instance, now);
+  return now - failing->second > options_.unresponsive_after && !reachable;
 }
 
 bool RangeController::Settled(const ServiceName& service,
--- a/src/control/suspect_detector.cc
+++ b/src/control/suspect_detector.cc
@@ -90,10 +90,11 @@
 
 SuspectDetector::Fate SuspectDetector::FateOf(const Loss& loss, Instant now) const {
   const Instant since = loss.lost_at + kHeartbeatTransitMaximum;
-  if (liveness_.HeardTwiceSince(loss.instance, since)) return Fate::kSurvived;
+  if (liveness_.HasTwoHeartbeatsSince(loss.instance, since)) return Fate::kSurvived;
   // A new leader has received no heartbeats before its start.
   Instant from = std::max(loss.lost_at, start_);
-  if (liveness_.HeardSince(loss.instance, since)) from = *liveness_.LastHeard(loss.instance);
+  if (liveness_.HasHeartbeatSince(loss.instance, since))
+    from = *liveness_.LastHeartbeatAt(loss.instance);
   return now - from >= kTerminationCertainAfter ? Fate::kEnded : Fate::kUndecided;
 }
 
