--- a/src/control/displacement.h
+++ b/src/control/displacement.h
@@ -20,7 +20,7 @@
 inline constexpr Duration kHeartbeatDelayMaximum{10'000'000};
 
 /// Whether a displaced instance has certainly terminated, so that no order sent to it can take
-/// effect: it was first heard so long before its successor that the successor's heartbeat can't be
+/// effect: its first heartbeat arrived so long before its successor's that the successor's can't be
 /// a delayed one of an earlier process. False for an instance that is not displaced. Also false if
 /// the successor is a later incarnation with the same name and address: it accepts delayed orders
 /// for the earlier one. Its answer to a release shows that it has seen a higher fence, and it
--- a/src/control/instance_limits.h
+++ b/src/control/instance_limits.h
@@ -21,7 +21,7 @@
 /// that each observe a limit independently.
 ///
 /// The newest report counts, by the time when a router received it. Exists for one leadership. Not
-/// thread safe.
+/// thread safe. `now` must not decrease.
 class InstanceLimits {
  public:
   /// Records a reported limit.
--- a/src/control/range_controller.cc
+++ b/src/control/range_controller.cc
@@ -19,7 +19,7 @@
 /// events in between are decided together. An evaluation takes half a microsecond of a core, so
 /// decisions take at most a twentieth of a core, however many events require them. Without the
 /// pause, the second in which 126 of 901 instances left took 1.8 s of a core in the
-/// deciding thread; with it, a pass follows 22 ms after the previous one, and 1 ms with 33
+/// deciding thread; with it, a pass follows 22 ms after the previous one, or 1 ms with 33
 /// instances.
 constexpr Duration kPausePerItem{10};
 /// Number of orders sent at once (or this fraction of all ranges, 1/16, if that is more), and the
