--- a/src/control/operator_requests.h
+++ b/src/control/operator_requests.h
@@ -22,7 +22,6 @@
 /// Pure functions without side effects; errors are returned as the answer, each with a remedy.
 OperatorStep PlanRequest(const SubmitBundle& request, const ReplicatedState& state);
 /// @param reviewer_keys public keys by reviewer, from this process's settings.
-/// @param reviewer_keys reviewer -> public key, from this process's settings.
 OperatorStep PlanRequest(const SignBundle& request,
                          const std::map<std::string, std::string>& reviewer_keys);
 OperatorStep PlanRequest(const RollBundle& request);
--- a/src/control/ownership_controller.h
+++ b/src/control/ownership_controller.h
@@ -43,10 +43,8 @@
 class OwnershipController {
  public:
   /// @param state outlives the controller.
-  /// @param state outlives the controller.
-  /// @param numbers_used numbers_used() of an earlier lease table of the same term, else 0.
-  /// @param numbers_used the highest lease request number that this process has used before.
-  /// @param state outlives the controller.
+  /// @param numbers_used the highest lease request number that this process has used in the same
+  /// term: numbers_used() of an earlier lease table, else 0.
   OwnershipController(OwnershipOptions options, const ReplicatedState& state, Term term,
                       std::uint64_t numbers_used, Instant now);
   OwnershipController(const OwnershipController&) = delete;
@@ -59,7 +57,7 @@
   void TakeAnswer(const lease::LeaseAnswer& answer, Instant now);
   /// Processes the load per shard that a router measured.
   void TakeLoad(const std::vector<ShardLoad>& loads, Instant now) { balancer_.Report(loads, now); }
-  /// Updates leases and placement after an applied entry. Called after each applied entry.
+  /// Updates leases and placement. Called after each applied entry.
   void HandleApplied(const ApplyOutcome& outcome, Instant now);
 
   /// Returns the commands to propose now. The caller proposes all of them at once and calls
--- a/src/control/quota_ledger.h
+++ b/src/control/quota_ledger.h
@@ -32,7 +32,6 @@
 class QuotaLedger {
  public:
   /// @param term of the leadership. Share set numbers of a term are above those of earlier terms.
-  /// @param term of the leadership: numbers of its sets are above those of earlier ones.
   QuotaLedger(QuotaOptions options, std::uint64_t term, Instant now);
 
   /// Applies the tenants' quotas in force.
--- a/src/control/range_controller.h
+++ b/src/control/range_controller.h
@@ -43,8 +43,6 @@
   /// @param last_used the newest order number of this process's earlier leaderships. Results of
   /// their orders may still arrive and must not be mistaken for results of this leadership's
   /// orders.
-  /// @param last_used the newest order number of this process's earlier leaderships. Results of
-  /// their orders may still come, and must not be taken for those of this one's.
   RangeController(RangeOptions options, const traffic::TrafficState& state,
                   const InstanceLiveness& liveness, const InstanceLimits& limits,
                   OrderNumber last_used, Instant now);
@@ -227,8 +225,8 @@
   std::vector<traffic::KeySpan> SpansToLease(const traffic::KeyRange& range,
                                              const RangeStatus& status);
   /// Records that an answer omits a span.
-  /// @return whether earlier answers leased these keys.
-  /// @return whether answers gave these keys until now.
+  /// @return true when no such omission was recorded, so that answers may have leased the keys
+  /// until now.
   static bool NoteOmission(HeartbeatStatus& heartbeat_status, const traffic::KeySpan& span,
                            Instant now);
   /// Whether an owner may still send the heartbeat whose answer is the first to lease it the range.
--- a/src/control/replicated_state.h
+++ b/src/control/replicated_state.h
@@ -74,7 +74,6 @@
   std::string Save() const;
   /// Replaces the state by an encoded one.
   /// @return kMalformedMessage when the bytes are not a complete and consistent state.
-  /// @return kMalformedMessage when the bytes are not a whole, consistent state.
   Result<void> Restore(std::string_view bytes);
 
   LogIndex applied() const { return applied_; }
--- a/src/control/router_registry.h
+++ b/src/control/router_registry.h
@@ -15,7 +15,6 @@
 class RouterRegistry {
  public:
   /// @param now start of the leadership: routers take a moment to discover it.
-  /// @param now the start of the leadership: routers take a moment to find it.
   explicit RouterRegistry(Instant now) : start_(now) {}
 
   /// Records that a router polled.
--- a/src/control/state_feed.h
+++ b/src/control/state_feed.h
@@ -34,7 +34,6 @@
   using Message = std::shared_ptr<const ControlToRouter>;
 
   /// @param pushes_used the highest push number of earlier feeds of this process.
-  /// @param pushes_used numbers of earlier feeds of this process go up to here.
   StateFeed(const traffic::TrafficState& state, StateFeedOptions options,
             std::uint64_t pushes_used = 0)
       : state_(state), options_(options), last_push_(pushes_used) {}
--- a/src/control/traffic_leader.h
+++ b/src/control/traffic_leader.h
@@ -54,7 +54,6 @@
 
   /// Processes a router's poll and returns the messages to send, the answer among them.
   /// @param feed address from which the router is to receive the state.
-  /// @param feed where the router is to take the state from.
   std::vector<RouterSend> TakePoll(ConnectionId connection, const traffic::TrafficPoll& poll,
                                    Instant now, const std::string& feed = "") {
     for (const traffic::InstanceLimit& limit : poll.limits) limits_.Take(limit, now);
--- a/src/control/traffic_sessions.h
+++ b/src/control/traffic_sessions.h
@@ -24,8 +24,6 @@
  public:
   /// @param timed whether the driver calls PushSent() after each push.
   /// @param pushes_used the highest push number of this process's earlier leaderships.
-  /// @param timed whether PushSent() will be called for each push.
-  /// @param pushes_used the newest number of this process's earlier leaderships.
   TrafficSessions(const traffic::TrafficState& state, Instant now, bool timed = false,
                   std::uint64_t pushes_used = 0)
       : state_(state), feed_(state, {timed, false}, pushes_used), routers_(now) {}
